--- a/include/gingerdyke/proxy/asio.hpp
+++ b/include/gingerdyke/proxy/asio.hpp
@@ -28,7 +28,7 @@
 void set_connection_options(tcp::socket& socket);
 
 /// \brief Sets how long sent bytes may stay unacknowledged before a connection counts as broken.
-void set_unacknowledged_limit(tcp::socket& socket, duration limit);
+void set_unacknowledged_timeout(tcp::socket& socket, duration timeout);
 
 /// \brief Opens an acceptor at an address.
 /// \param backlog Connections that wait to be accepted.
--- a/include/gingerdyke/proxy/caller_link.hpp
+++ b/include/gingerdyke/proxy/caller_link.hpp
@@ -23,10 +23,10 @@
 };
 
 /// \brief One connection of a caller.
-class caller_link : public answer_sink, public std::enable_shared_from_this<caller_link>
+class caller_connection : public answer_sink, public std::enable_shared_from_this<caller_connection>
 {
   public:
-	caller_link(tcp::socket socket, std::shared_ptr<const caller_link_host> host);
+	caller_connection(tcp::socket socket, std::shared_ptr<const caller_link_host> host);
 
 	/// \brief Begins to read.
 	void start();
@@ -63,15 +63,15 @@
 	void advance();
 	[[nodiscard]] bool read_head();
 	[[nodiscard]] bool read_body();
-	void take_request();
+	void start_request();
 	void refuse(int status, const std::string& why);
 	void write(std::string_view bytes);
 	void write_next();
 	void on_written(const error_code& error);
-	void finish_answer(bool may_continue);
+	void finish_response(bool keep_open);
 	void arm_timer(duration span);
 	void on_timer();
-	void on_gone();
+	void on_disconnect();
 	void close();
 
 	tcp::socket socket_;
@@ -82,13 +82,13 @@
 	std::optional<parser> parser_;
 	request request_;
 	std::shared_ptr<active_request> active_;
-	std::string writing_;
-	std::string pending_;
+	std::string write_buffer_;
+	std::string pending_output_;
 	state state_ = state::idle;
 	bool is_reading_ = false;
-	bool write_under_way_ = false;
+	bool is_writing_ = false;
 	bool keep_alive_ = true;
 	bool is_chunked_ = false;
-	bool is_head_ = false;
+	bool is_head_request_ = false;
 };
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/event_stream.hpp
+++ b/include/gingerdyke/proxy/event_stream.hpp
@@ -25,9 +25,9 @@
 {
   public:
 	/// \param last Id of the last event that the caller has; none: it has none.
-	/// \param largest_event Bytes of one event at most.
-	explicit event_stream(std::optional<std::uint64_t> last = {}, std::size_t largest_event = 1U << 20U)
-		: last_(last), largest_event_(largest_event)
+	/// \param max_event_bytes Bytes of one event at most.
+	explicit event_stream(std::optional<std::uint64_t> last = {}, std::size_t max_event_bytes = 1U << 20U)
+		: last_id_(last), max_event_bytes_(max_event_bytes)
 	{
 	}
 
@@ -38,16 +38,16 @@
 	void drop_partial() { partial_.clear(); }
 
 	/// \brief True where the stream stands between two events.
-	[[nodiscard]] bool between_events() const noexcept { return partial_.empty(); }
+	[[nodiscard]] bool at_event_boundary() const noexcept { return partial_.empty(); }
 
 	/// \brief Id of the last whole event; none before the first.
-	[[nodiscard]] std::optional<std::uint64_t> last_id() const noexcept { return last_; }
+	[[nodiscard]] std::optional<std::uint64_t> last_id() const noexcept { return last_id_; }
 
   private:
 	[[nodiscard]] bool accept(std::string_view event);
 
-	std::optional<std::uint64_t> last_;
-	std::size_t largest_event_;
+	std::optional<std::uint64_t> last_id_;
+	std::size_t max_event_bytes_;
 	std::string partial_;
 };
 
--- a/include/gingerdyke/proxy/exchange.hpp
+++ b/include/gingerdyke/proxy/exchange.hpp
@@ -11,7 +11,7 @@
 namespace gingerdyke::proxy
 {
 /// \brief What this VM may tell the caller about a request.
-enum class trace
+enum class execution
 {
 	/// No replica has run it.
 	not_run,
@@ -22,8 +22,8 @@
 /// \brief One attempt under way.
 struct attempt
 {
-	routing::replica_ptr to;
-	std::shared_ptr<upstream_link> link;
+	routing::replica_ptr target;
+	std::shared_ptr<upstream_connection> connection;
 	answer_head head;
 	std::string body;
 	instant sent_at;
@@ -35,16 +35,16 @@
 	quarantine::run_number run;
 
 	/// What its end tells about the request, unless it ends otherwise.
-	quarantine::run_end run_ends{quarantine::run_end::given_up};
+	quarantine::run_end run_outcome{quarantine::run_end::given_up};
 
 	/// Work that the replica is counted to have with it now, in tokens read by the largest model.
 	double work{};
 
 	/// Work that was to be read before its first token, its own prompt's included.
-	double work_ahead{};
+	double queued_work{};
 
 	/// What was known before it was sent; true again where this replica did not run it.
-	trace trace_before{trace::not_run};
+	execution execution_before{execution::not_run};
 
 	/// The replica counted as cold, and this VM had a share left.
 	bool is_cold{};
@@ -77,8 +77,8 @@
 	void await_ready();
 	void begin();
 	[[nodiscard]] bool admit();
-	[[nodiscard]] bool admit_key();
-	[[nodiscard]] quarantine::request_key read_key() const;
+	[[nodiscard]] bool authenticate();
+	[[nodiscard]] quarantine::request_key compute_request_key() const;
 	void refuse_unknown(int status, std::string reason);
 	void read_deadline();
 
@@ -86,43 +86,43 @@
 	void dispatch();
 	[[nodiscard]] routing::replica_ptr choose_replica() const;
 	using replica_filter = std::function<bool(const routing::replica&)>;
-	[[nodiscard]] routing::replica_ptr choose_among(const replica_filter& allowed) const;
+	[[nodiscard]] routing::replica_ptr choose_replica_among(const replica_filter& allowed) const;
 	[[nodiscard]] std::optional<duration> time_until_servable(const routing::replica& at) const;
-	[[nodiscard]] bool has_room(const routing::replica& one) const;
-	[[nodiscard]] bool is_for_engines() const;
+	[[nodiscard]] bool has_free_connection(const routing::replica& one) const;
+	[[nodiscard]] bool targets_engine() const;
 	[[nodiscard]] double model_weight() const;
 	[[nodiscard]] double work_before_first_token(const routing::replica& at) const;
 	[[nodiscard]] duration time_to_first_token(const routing::replica& at) const;
-	[[nodiscard]] header_fields fields_for(const routing::replica& to) const;
-	[[nodiscard]] bool may_try_again() const;
+	[[nodiscard]] header_fields upstream_fields(const routing::replica& to) const;
+	[[nodiscard]] bool may_retry() const;
 	void send_to(const routing::replica_ptr& to);
-	void try_again_or(const std::function<void()>& otherwise);
-	void note_prompt_read();
-	void end_attempt(bool answered_whole);
+	void retry_or(const std::function<void()>& otherwise);
+	void release_prefill_work();
+	void end_attempt(bool is_complete);
 	void note_run_end();
 	void note_result(routing::replica_result result);
 
 	// What the replica does.
 	void on_connected();
-	[[nodiscard]] bool may_still_send() const;
+	[[nodiscard]] bool is_still_sendable() const;
 	void on_head(answer_head head);
 	void note_statements(const answer_head& head);
 	void on_not_run();
-	void give_up_refused();
+	void fail_refused();
 	void on_body(std::string_view bytes);
 	void on_events(std::string_view bytes);
-	void note_pace(std::optional<duration> between_events);
+	void note_event_interval(std::optional<duration> at_event_boundary);
 	void on_end();
 	void on_fault(upstream_fault fault);
 	void on_not_connected(upstream_fault fault);
-	void take_back_attempt();
-	[[nodiscard]] rollout::answer_sample sample_of(duration took) const;
-	[[nodiscard]] bool is_foreign(const answer_head& head) const;
-	void note_first_token();
-	[[nodiscard]] bool wants_larger_model(const answer_head& head);
-	[[nodiscard]] bool moves_to_larger_model(double confidence);
+	void undo_attempt();
+	[[nodiscard]] rollout::answer_sample sample_for(duration elapsed) const;
+	[[nodiscard]] bool is_invalid_response(const answer_head& head) const;
+	void record_first_token();
+	[[nodiscard]] bool should_escalate(const answer_head& head);
+	[[nodiscard]] bool escalate(double confidence);
 	[[nodiscard]] duration expected_first_token() const;
-	void pass_on_whole();
+	void forward_buffered_response();
 
 	// Time.
 	void arm_attempt_timer(duration span);
@@ -133,18 +133,18 @@
 
 	// Endings; each answers the caller once.
 	void refuse(int status, std::string reason);
-	void refuse_held();
+	void refuse_quarantined();
 	void refuse_without_replica();
 	void refuse_until(duration wait, std::string reason);
-	void give_up(int status, std::string reason);
-	void answer_here(int status, std::string reason, header_fields fields);
+	void fail(int status, std::string reason);
+	void send_local_reply(int status, std::string reason, header_fields fields);
 	void finish(request_outcome outcome, int status, std::string reason);
 
 	gateway& shared_;
 	request request_;
-	std::shared_ptr<answer_sink> to_;
+	std::shared_ptr<answer_sink> sink_;
 	instant arrived_;
-	instant ends_at_;
+	instant deadline_;
 	boot_timer deadline_timer_;
 	boot_timer attempt_timer_;
 	routing::catalog_ptr catalog_;
@@ -153,24 +153,24 @@
 	const routing::workspace* workspace_ = nullptr;
 	service_id service_id_;
 	std::string id_;
-	quarantine::request_key key_;
+	quarantine::request_key request_key_;
 	prompt prompt_;
-	std::uint64_t session_point_ = 0;
-	std::vector<replica_id> tried_;
+	std::uint64_t session_hash_ = 0;
+	std::vector<replica_id> tried_replicas_;
 	std::optional<attempt> attempt_;
 	event_stream events_;
-	routing::size_step size_;
+	routing::size_step model_step_;
 	routing::replica_ptr last_replica_;
 
 	/// Its entry was missing when the request was sent to it.
-	bool last_was_suspected_ = false;
-	trace trace_{trace::not_run};
-	unsigned attempts_ = 0;
+	bool last_was_missing_ = false;
+	execution execution_{execution::not_run};
+	unsigned attempt_count_ = 0;
 	unsigned failed_connections_ = 0;
-	duration first_byte_{};
-	std::optional<size_choice> size_choice_;
-	bool begun_ = false;
-	bool answer_begun_ = false;
-	bool over_ = false;
+	duration first_byte_time_{};
+	std::optional<escalation_choice> escalation_choice_;
+	bool started_ = false;
+	bool response_started_ = false;
+	bool finished_ = false;
 };
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -33,52 +33,52 @@
 {
 	/// An attempt that may be repeated is given up without a first byte after this part of the objective.
 	/// Below 1 a busy engine's callers would be taken away just before their answers begin, and wait twice.
-	double first_byte_share = 1.2;
+	double first_byte_timeout_factor = 1.2;
 
 	/// The same for answers that come whole; their times spread up to seven times the mean.
-	double whole_answer_share = 1.7;
+	double buffered_response_timeout_factor = 1.7;
 
 	/// A stream that pauses for this multiple of the longest pause in time goes on elsewhere; reason as
 	/// above.
-	double pause_share = 1.6;
+	double stream_pause_timeout_factor = 1.6;
 
 	/// Shortest of the limits above, for routes with a very short objective.
-	duration shortest_limit = std::chrono::milliseconds{150};
+	duration min_attempt_timeout = std::chrono::milliseconds{150};
 
 	/// A connection that is not up by then is given up: a thousand times the users' usual time.
-	duration connect_limit = std::chrono::milliseconds{400};
+	duration connect_timeout = std::chrono::milliseconds{400};
 
 	/// A request that may run again is taken from a replica that does not acknowledge its bytes for this
 	/// long: three losses in a row on the users' links take longer. Others wait as long as the connection
 	/// does.
-	duration unacknowledged_limit = std::chrono::milliseconds{900};
+	duration unacknowledged_timeout = std::chrono::milliseconds{900};
 
 	/// Replicas tried, at most, to which no connection came up: nothing was sent, so they are no attempts.
-	unsigned failed_connections = 6;
+	unsigned max_failed_connections = 6;
 
 	/// Connections to one replica that a VM may have whatever its share of the replica's limit is: a share
 	/// that is smaller would make requests wait while other VMs use none.
-	unsigned least_connections = 4;
+	unsigned min_connections = 4;
 
 	/// An attempt is not begun with less than this left: it could only end too late.
-	duration least_time = std::chrono::milliseconds{20};
+	duration min_attempt_time = std::chrono::milliseconds{20};
 
 	/// A stopping VM takes no streams after this time, and no other requests after the longer one: what it
 	/// takes must end before the process does. The users' shortest limit for a stop is 8 s.
-	duration streams_while_stopping = std::chrono::milliseconds{2900};
-	duration requests_while_stopping = std::chrono::milliseconds{5500};
+	duration stream_acceptance_while_stopping = std::chrono::milliseconds{2900};
+	duration request_acceptance_while_stopping = std::chrono::milliseconds{5500};
 
 	/// A request that comes before the VM is ready waits this long at most: with a registry that answers, a
 	/// VM that has just started is ready sooner.
-	duration longest_start = std::chrono::milliseconds{400};
+	duration max_ready_wait = std::chrono::milliseconds{400};
 
 	/// A request is refused where its first token is expected after this multiple of the time that it has.
 	/// The expectation is a mean: with 1, half of those refused would have been answered.
-	int refusal_margin = 2;
+	int refusal_factor = 2;
 
 	/// Callers who wait for the same replicas are told to come back over this much more of the wait: all at
 	/// one moment would overload what has just returned.
-	double retry_spread = 0.5;
+	double retry_after_jitter = 0.5;
 
 	/// When a refused caller may come back: about the time after which another VM or replica is likely found.
 	duration retry_after = std::chrono::milliseconds{250};
@@ -136,7 +136,7 @@
 	void confirm(instant sent_at);
 
 	/// \brief How long ago the configuration was last confirmed; none: never.
-	[[nodiscard]] std::optional<duration> confirmed_age(instant now) const;
+	[[nodiscard]] std::optional<duration> catalog_age(instant now) const;
 
 	/// \brief Whether what the configuration does not know can be said not to exist: it was confirmed within
 	/// the time in which a change comes into force. A VM that has lost the registry knows no newer route.
@@ -152,10 +152,10 @@
 	[[nodiscard]] key_trust trust_in_keys(instant now) const;
 
 	/// \brief Notes that the process is being stopped.
-	void note_stop(instant now) { stop_began_ = now; }
+	void note_stop(instant now) { stop_started_at_ = now; }
 
 	/// \brief Whether a request may still be taken: always, but late in a stop.
-	[[nodiscard]] bool takes_requests(bool is_stream, instant now) const;
+	[[nodiscard]] bool accepts_requests(bool is_stream, instant now) const;
 
 	/// \brief True once a configuration and the replicas are known.
 	[[nodiscard]] bool ready() const { return catalog_ != nullptr && replicas_.known(); }
@@ -193,17 +193,17 @@
 	void note_leaving(const routing::replica& from, const std::string& request);
 
 	/// \brief Notes that a replica says something of itself that can't be read.
-	void note_unreadable(const routing::replica& from, const std::string& value);
+	void note_unreadable_statement(const routing::replica& from, const std::string& value);
 
 	/// \brief Replicas' ends, and the requests under which they came.
-	[[nodiscard]] replica_end_watch& ends() noexcept { return ends_; }
+	[[nodiscard]] replica_exit_detector& ends() noexcept { return exit_detector_; }
 
 	/// \brief Requests under which replicas ended.
 	[[nodiscard]] quarantine::suspect_list& suspects() noexcept { return suspects_; }
 
 	/// \brief Whether another request that the next end would hold back runs on a replica, as far as this VM
 	/// knows.
-	[[nodiscard]] bool runs_other_suspect(
+	[[nodiscard]] bool runs_another_suspect(
 		const routing::replica& at, const quarantine::request_key& than, instant now) const;
 
 	/// \brief Sets who is told that there is something to report about requests under which replicas ended.
@@ -216,19 +216,19 @@
 	[[nodiscard]] limits::attempt_budget& budget(const service_id& service);
 
 	/// \brief How long a service's engines take to their first token.
-	[[nodiscard]] routing::first_token_time& first_tokens(const service_id& service)
+	[[nodiscard]] routing::first_token_time& first_token_times(const service_id& service)
 	{
-		return first_tokens_[service];
+		return first_token_times_[service];
 	}
 
 	[[nodiscard]] const routing::catalog_ptr& catalog() const noexcept { return catalog_; }
 	[[nodiscard]] routing::replica_set& replicas() noexcept { return replicas_; }
 	[[nodiscard]] routing::fleet_list& vms() noexcept { return vms_; }
-	[[nodiscard]] routing::evacuated_domains& evacuated() noexcept { return evacuated_; }
+	[[nodiscard]] routing::evacuated_domains& evacuated() noexcept { return evacuated_domains_; }
 	[[nodiscard]] routing::slow_start& cold_replicas() noexcept { return cold_replicas_; }
-	[[nodiscard]] routing::announced_limits& announced() noexcept { return announced_; }
-	[[nodiscard]] routing::rest_periods& resting() noexcept { return resting_; }
-	[[nodiscard]] unknown_statements& unknown() noexcept { return unknown_; }
+	[[nodiscard]] routing::announced_limits& announced() noexcept { return load_limits_; }
+	[[nodiscard]] routing::rest_periods& resting() noexcept { return backoffs_; }
+	[[nodiscard]] unknown_statements& unknown() noexcept { return unknown_names_; }
 	[[nodiscard]] routing::replica_selector& selector() noexcept { return selector_; }
 	[[nodiscard]] upstream_pool& pool() noexcept { return pool_; }
 	[[nodiscard]] rollout::version_shift& versions() noexcept { return versions_; }
@@ -242,10 +242,10 @@
 	void on_replica_change(const routing::replica& one, routing::replica_change change);
 	void on_evacuation(const failure_domain_id& domain, bool is_evacuated);
 	void note_cold(const routing::replica& one, routing::replica_change change, instant now);
-	[[nodiscard]] replica_end_watch::hooks end_hooks();
-	void on_replica_end(
-		const replica_end& end, bool has_ended, const std::vector<quarantine::process_life>& together);
-	void tell_ready();
+	[[nodiscard]] replica_exit_detector::hooks exit_detector_hooks();
+	void on_replica_exit(
+		const replica_exit& end, bool has_ended, const std::vector<quarantine::process_life>& together);
+	void run_ready_hooks();
 
 	asio::io_context& context_;
 	header_names names_;
@@ -254,34 +254,34 @@
 	gateway_tuning tuning_;
 	routing::catalog_ptr catalog_;
 	routing::replica_set replicas_;
-	routing::evacuated_domains evacuated_;
+	routing::evacuated_domains evacuated_domains_;
 	routing::fleet_list vms_;
 	routing::slow_start cold_replicas_;
-	routing::announced_limits announced_;
-	routing::rest_periods resting_;
+	routing::announced_limits load_limits_;
+	routing::rest_periods backoffs_;
 	routing::replica_selector selector_;
 	upstream_pool pool_;
 	quarantine::suspect_list suspects_;
-	replica_end_watch ends_;
-	std::uint64_t replica_ends_ = 0;
+	replica_exit_detector exit_detector_;
+	std::uint64_t replica_exits_ = 0;
 	std::uint64_t unreadable_statements_ = 0;
-	unknown_statements unknown_;
+	unknown_statements unknown_names_;
 
 	/// Replicas of which a line told already that they can't be understood.
-	std::set<replica_id> unreadable_replicas_;
+	std::set<replica_id> logged_unreadable_replicas_;
 	rollout::version_shift versions_;
 	routing::size_policy sizes_;
-	std::map<service_id, routing::first_token_time> first_tokens_;
+	std::map<service_id, routing::first_token_time> first_token_times_;
 	std::map<service_id, limits::attempt_budget> budgets_;
-	std::optional<instant> confirmed_at_;
+	std::optional<instant> catalog_confirmed_at_;
 	std::optional<instant> replicas_confirmed_at_;
 	std::function<void()> evidence_hook_;
 	std::function<void()> suspicion_hook_;
 	std::vector<std::function<void()>> ready_hooks_;
-	std::optional<instant> stop_began_;
+	std::optional<instant> stop_started_at_;
 
 	/// VMs of a small deployment.
-	static constexpr unsigned assumed_vms = 6;
-	unsigned vm_count_ = assumed_vms;
+	static constexpr unsigned default_vm_count = 6;
+	unsigned vm_count_ = default_vm_count;
 };
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/listener.hpp
+++ b/include/gingerdyke/proxy/listener.hpp
@@ -34,12 +34,12 @@
 
   private:
 	void accept();
-	void sweep();
+	void remove_closed();
 
 	std::shared_ptr<const caller_link_host> host_;
 	tcp::acceptor acceptor_;
-	boot_timer pause_;
-	std::vector<std::weak_ptr<caller_link>> links_;
-	std::size_t sweep_at_;
+	boot_timer accept_retry_timer_;
+	std::vector<std::weak_ptr<caller_connection>> connections_;
+	std::size_t removal_threshold_;
 };
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/message.hpp
+++ b/include/gingerdyke/proxy/message.hpp
@@ -20,7 +20,7 @@
 using header_fields = std::vector<header_field>;
 
 /// \brief Compares header names and tokens: ASCII, without regard to case.
-[[nodiscard]] bool same_name(std::string_view a, std::string_view b) noexcept;
+[[nodiscard]] bool equals_ignore_case(std::string_view a, std::string_view b) noexcept;
 
 /// \brief Value of the first field of a name, or null.
 [[nodiscard]] const std::string* find_field(const header_fields& fields, std::string_view name) noexcept;
@@ -30,7 +30,7 @@
 
 /// \brief Fields that are meant for the next hop but one: without those of a single connection and those that
 /// the `Connection` header names. Framing is left to whoever sends the message on.
-[[nodiscard]] header_fields end_to_end(const header_fields& fields);
+[[nodiscard]] header_fields without_hop_by_hop_fields(const header_fields& fields);
 
 /// \brief A caller's request, whole.
 struct request
@@ -77,11 +77,11 @@
 /// \brief Checks the raw bytes of a header block before they are parsed: what two parsers may read in two
 /// ways is refused. \param block The block with its closing empty line. \returns Nothing, or what is wrong
 /// with it.
-[[nodiscard]] std::optional<std::string> find_ambiguity(std::string_view block);
+[[nodiscard]] std::optional<std::string> find_header_fault(std::string_view block);
 
 /// \brief Writes a request for a replica.
 /// \param fields End-to-end fields; framing is added here.
-[[nodiscard]] std::string write_request(const request& what, const header_fields& fields);
+[[nodiscard]] std::string serialize_request(const request& what, const header_fields& fields);
 
 /// \brief Writes the head of an answer.
 /// \param framing Fields that frame the body, such as `Content-Length`.
@@ -92,5 +92,5 @@
 [[nodiscard]] std::string write_chunk(std::string_view bytes);
 
 /// \brief The usual reason phrase of a status.
-[[nodiscard]] std::string_view reason_of(int status) noexcept;
+[[nodiscard]] std::string_view reason_phrase(int status) noexcept;
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/prompt.hpp
+++ b/include/gingerdyke/proxy/prompt.hpp
@@ -11,32 +11,32 @@
 struct prompt
 {
 	/// Tokens to read; 0 where the request does not say.
-	double tokens_in{};
+	double input_tokens{};
 
 	/// Most tokens to generate; 0 where the request does not say.
-	double tokens_out{};
+	double max_output_tokens{};
 
 	/// Tokens of all parts but the last.
-	double shared_tokens{};
+	double prefix_tokens{};
 
 	/// Hash of all parts but the last, which is the request's own; 0: nothing is shared.
-	std::uint64_t shared_parts{};
+	std::uint64_t prefix_hash{};
 
 	/// \brief Tokens that an engine is expected to read: about half of the shared parts are kept where the
 	/// prompt goes.
-	[[nodiscard]] double expected_reading() const noexcept
+	[[nodiscard]] double expected_prefill_tokens() const noexcept
 	{
-		constexpr double kept_share = 0.5;
-		return tokens_in - kept_share * shared_tokens;
+		constexpr double cached_share = 0.5;
+		return input_tokens - cached_share * prefix_tokens;
 	}
 
 	/// \brief Work that it is for an engine to generate the answer, in tokens read. A token of one of many
 	/// answers in a batch takes as long as a few tokens read, and callers state a few times as many as are
 	/// generated.
-	[[nodiscard]] double generating_work() const noexcept
+	[[nodiscard]] double decode_work() const noexcept
 	{
-		constexpr double generated_weight = 1;
-		return generated_weight * tokens_out;
+		constexpr double output_token_weight = 1;
+		return output_token_weight * max_output_tokens;
 	}
 };
 
--- a/include/gingerdyke/proxy/replica_end_watch.hpp
+++ b/include/gingerdyke/proxy/replica_end_watch.hpp
@@ -11,53 +11,53 @@
 namespace gingerdyke::proxy
 {
 /// \brief A replica's end, and the requests that ran there.
-struct replica_end
+struct replica_exit
 {
 	routing::replica_ptr replica;
 	quarantine::process_life life;
 	std::vector<quarantine::request_key> requests;
 };
 
-/// \brief Tuning of `replica_end_watch`.
-struct replica_end_tuning
+/// \brief Tuning of `replica_exit_detector`.
+struct replica_exit_tuning
 {
 	/// Ends within this time of each other have a cause in common where there are so many: a request that
 	/// ends replicas is sent to one after the other. The replicas of a rack that lost power were all missed
 	/// within 15 ms on a quiet network.
-	duration together = std::chrono::milliseconds{200};
-	std::size_t least_together = 3;
+	duration correlation_window = std::chrono::milliseconds{200};
+	std::size_t min_correlated = 3;
 
 	/// A replica that has not taken a connection after this time is not known to have ended: a network that
 	/// is cut does the same. One whose process is gone refuses within a round trip.
-	duration connect_limit = std::chrono::milliseconds{400};
+	duration connect_timeout = std::chrono::milliseconds{400};
 };
 
 /// \brief Watches the replicas that this VM's requests run on. A broken answer alone says little: replicas
 /// break some off and live on. One more connection tells: where it is refused, the process has ended.
-class replica_end_watch
+class replica_exit_detector
 {
   public:
 	/// \brief Told of an end that is likely, before it is known, and then whether it was one.
 	struct hooks
 	{
-		std::function<void(const replica_end&)> presumed;
+		std::function<void(const replica_exit&)> presumed;
 
-		/// \param together Lives that ended, or probably did, at the same time; empty: it came alone.
+		/// \param correlation_window Lives that ended, or probably did, at the same time; empty: it came alone.
 		std::function<void(
-			const replica_end&, bool has_ended, const std::vector<quarantine::process_life>& together)>
-			settled;
+			const replica_exit&, bool has_exited, const std::vector<quarantine::process_life>& correlation_window)>
+			resolved;
 	};
 
-	replica_end_watch(asio::io_context& context, hooks told, replica_end_tuning tuning = {});
+	replica_exit_detector(asio::io_context& context, hooks told, replica_exit_tuning tuning = {});
 
 	/// \brief Notes that an answer of a replica broke off, or did not begin.
-	void note_broken(const routing::replica_ptr& at, instant now);
+	void note_broken_response(const routing::replica_ptr& at, instant now);
 
 	/// \brief Notes that a replica refused a connection.
-	void note_refused(const routing::replica_ptr& at, instant now);
+	void note_refused_connection(const routing::replica_ptr& at, instant now);
 
 	/// \brief Calls a hook once, after the next end is settled.
-	void when_settled(std::function<void()> hook) { waiting_.push_back(std::move(hook)); }
+	void when_resolved(std::function<void()> hook) { resolved_hooks_.push_back(std::move(hook)); }
 
 	/// \brief The runs that are watched.
 	[[nodiscard]] quarantine::replica_runs& runs() noexcept { return runs_; }
@@ -66,30 +66,30 @@
   private:
 	struct probe;
 
-	[[nodiscard]] std::optional<replica_end> presume(const routing::replica_ptr& at, instant now);
-	void begin_probe(const replica_end& end);
-	void settle(const replica_end& end, bool has_ended);
-	[[nodiscard]] std::vector<quarantine::process_life> lives_together(instant now);
+	[[nodiscard]] std::optional<replica_exit> presume(const routing::replica_ptr& at, instant now);
+	void begin_probe(const replica_exit& exit);
+	void resolve(const replica_exit& exit, bool has_exited);
+	[[nodiscard]] std::vector<quarantine::process_life> correlated_lives(instant now);
 
 	asio::io_context& context_;
-	hooks told_;
-	replica_end_tuning tuning_;
+	hooks hooks_;
+	replica_exit_tuning tuning_;
 	quarantine::replica_runs runs_;
 
-	struct recent_end
+	struct recent_exit
 	{
 		quarantine::process_life life;
 		instant at;
 	};
 
 	/// Ends, likely ones too, of the last moments.
-	std::vector<recent_end> recent_;
-	std::vector<std::function<void()>> waiting_;
+	std::vector<recent_exit> recent_exits_;
+	std::vector<std::function<void()>> resolved_hooks_;
 
 	/// Lives for which a probe is under way.
-	std::set<quarantine::process_life> probed_;
+	std::set<quarantine::process_life> probed_lives_;
 
 	/// Probes that outlive this object find it gone.
-	std::shared_ptr<bool> lives_ = std::make_shared<bool>(true);
+	std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/replica_statements.hpp
+++ b/include/gingerdyke/proxy/replica_statements.hpp
@@ -18,13 +18,13 @@
 	std::optional<double> load_limit;
 
 	/// It names a limit, and none that can be read: what was known of one holds on.
-	bool has_unclear_limit{};
+	bool has_unreadable_limit{};
 
 	/// It leaves, and takes no new work.
-	bool leaves{};
+	bool is_draining{};
 
 	/// It refuses the request and wants nothing from this VM for so long; none: it does not say.
-	std::optional<duration> rest;
+	std::optional<duration> backoff;
 
 	/// A value that can't be read, for the log; empty: there is none. It changes nothing that was known.
 	std::string unreadable;
--- a/include/gingerdyke/proxy/request_log.hpp
+++ b/include/gingerdyke/proxy/request_log.hpp
@@ -31,7 +31,7 @@
 [[nodiscard]] const char* name_of(request_outcome outcome) noexcept;
 
 /// \brief What decided whether an answer was given up for a larger model's.
-struct size_choice
+struct escalation_choice
 {
 	/// Confidence of the smaller model's answer, and the one below which it is given up.
 	double confidence{};
@@ -42,12 +42,12 @@
 };
 
 /// \brief What a line tells about one request.
-struct request_line
+struct request_record
 {
 	std::string id;
 
 	/// Key of its content, the same for each repeat.
-	std::string content;
+	std::string content_key;
 	std::string route;
 	std::string workspace;
 	std::string replica;
@@ -61,16 +61,16 @@
 	/// Why it ended so, in a few words; the same words for the same reason.
 	std::string reason;
 	unsigned attempts{};
-	duration took{};
+	duration elapsed{};
 
 	/// From arrival to the first byte passed on.
 	duration first_byte{};
 
 	/// None where there was no choice.
-	std::optional<size_choice> choice;
+	std::optional<escalation_choice> escalation;
 
 	/// Version of the configuration that decided, and how long ago it was confirmed.
-	std::int64_t config{};
+	std::int64_t config_version{};
 	duration config_age{};
 
 	/// How long ago the table of replicas was confirmed, and whether the last replica's entry was missing.
@@ -95,7 +95,7 @@
   public:
 	explicit request_log(instant now, request_log_tuning tuning = {});
 
-	void note(const request_line& line, instant now);
+	void note(const request_record& record, instant now);
 
 	/// \brief Requests that ended so.
 	[[nodiscard]] std::uint64_t count(request_outcome outcome) const
@@ -111,6 +111,6 @@
 	limits::token_bucket lines_;
 	request_metrics metrics_;
 	std::uint64_t served_ = 0;
-	std::uint64_t left_out_ = 0;
+	std::uint64_t dropped_lines_ = 0;
 };
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/request_metrics.hpp
+++ b/include/gingerdyke/proxy/request_metrics.hpp
@@ -10,14 +10,14 @@
 
 namespace gingerdyke::proxy
 {
-struct request_line;
+struct request_record;
 
 /// \brief Counts requests. Times are of requests that a replica answered: what is refused here takes no time
 /// that says anything.
 class request_metrics
 {
   public:
-	void note(const request_line& line);
+	void note(const request_record& record);
 
 	/// \brief Requests that ended so; see `name_of(request_outcome)`.
 	[[nodiscard]] std::uint64_t count(const std::string& outcome) const;
--- a/include/gingerdyke/proxy/stream_pace.hpp
+++ b/include/gingerdyke/proxy/stream_pace.hpp
@@ -18,7 +18,7 @@
 	/// nothing.
 	[[nodiscard]] std::optional<duration> note_events(std::size_t count, instant now)
 	{
-		if (count == 0 || is_over_)
+		if (count == 0 || is_measured_)
 		{
 			return std::nullopt;
 		}
@@ -27,24 +27,24 @@
 			first_at_ = now;
 			return std::nullopt;
 		}
-		is_over_ = true;
+		is_measured_ = true;
 		return count == 1 ? std::optional{now - *first_at_} : std::nullopt;
 	}
 
 	/// \brief Notes that the stream was given up, since nothing came for long.
 	/// \returns The time since the first event, where no second one came.
-	[[nodiscard]] std::optional<duration> note_given_up(instant now)
+	[[nodiscard]] std::optional<duration> note_abandoned(instant now)
 	{
-		if (is_over_ || !first_at_)
+		if (is_measured_ || !first_at_)
 		{
 			return std::nullopt;
 		}
-		is_over_ = true;
+		is_measured_ = true;
 		return now - *first_at_;
 	}
 
   private:
 	std::optional<instant> first_at_;
-	bool is_over_ = false;
+	bool is_measured_ = false;
 };
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/timer.hpp
+++ b/include/gingerdyke/proxy/timer.hpp
@@ -16,11 +16,11 @@
 {
 	/// A VM that wakes up has noticed everything that is overdue after this time, well within the users' 3 s.
 	/// On a VM without requests it costs two wake-ups a second.
-	static constexpr boot_clock::duration longest = std::chrono::milliseconds{500};
+	static constexpr boot_clock::duration max_wait = std::chrono::milliseconds{500};
 
 	[[nodiscard]] static boot_clock::duration to_wait_duration(const boot_clock::duration& left)
 	{
-		return std::min(left, longest);
+		return std::min(left, max_wait);
 	}
 
 	[[nodiscard]] static boot_clock::duration to_wait_duration(const boot_clock::time_point& until)
--- a/include/gingerdyke/proxy/unknown_statements.hpp
+++ b/include/gingerdyke/proxy/unknown_statements.hpp
@@ -30,18 +30,18 @@
 {
   public:
 	/// \brief Told of a name that was not seen before, and who made the statement.
-	using news_hook = std::function<void(statement_source, const std::string& name, const std::string& who)>;
+	using new_name_hook = std::function<void(statement_source, const std::string& name, const std::string& sender)>;
 
-	explicit unknown_statements(news_hook news) : news_(std::move(news)) {}
+	explicit unknown_statements(new_name_hook on_new_name) : new_name_hook_(std::move(on_new_name)) {}
 
 	/// \brief Notes one statement. Names beyond a number, and the ends of long ones, are only counted.
-	void note(statement_source source, std::string_view name, const std::string& who);
+	void note(statement_source source, std::string_view name, const std::string& sender);
 
 	/// \brief Statements noted so far.
 	[[nodiscard]] std::uint64_t count() const noexcept { return count_; }
 
   private:
-	news_hook news_;
+	new_name_hook new_name_hook_;
 	std::set<std::string> names_;
 	std::uint64_t count_ = 0;
 };
--- a/include/gingerdyke/proxy/upstream_pool.hpp
+++ b/include/gingerdyke/proxy/upstream_pool.hpp
@@ -13,11 +13,11 @@
 {
 	/// Part of the time for which a replica says it keeps an idle connection that is used here: whole seconds
 	/// are stated, and a request may be on the way when the time is over.
-	double kept_share = 0.6;
+	double keep_alive_factor = 0.6;
 
 	/// An idle connection older than this carries only requests that may run again: a replica may have
 	/// dropped it silently.
-	duration trusted_idle = std::chrono::seconds{1};
+	duration max_trusted_idle = std::chrono::seconds{1};
 };
 
 /// \brief Keeps connections by replica.
@@ -29,11 +29,11 @@
 
 	/// \brief A connection to a replica: an idle one, else a new one.
 	/// \param may_run_again The request may be sent again where the connection turns out to be dead.
-	[[nodiscard]] std::shared_ptr<upstream_link> take(
+	[[nodiscard]] std::shared_ptr<upstream_connection> take(
 		const routing::replica_ptr& to, bool may_run_again, instant now);
 
 	/// \brief Takes back a connection whose request is over; keeps it where it may be used again.
-	void give_back(const std::shared_ptr<upstream_link>& link, instant now);
+	void give_back(const std::shared_ptr<upstream_connection>& connection, instant now);
 
 	/// \brief Connections to a replica, idle and in use.
 	[[nodiscard]] unsigned open(const replica_id& id) const;
@@ -46,9 +46,9 @@
 	void drop(const replica_id& id);
 
   private:
-	struct idle_link
+	struct idle_connection
 	{
-		std::shared_ptr<upstream_link> link;
+		std::shared_ptr<upstream_connection> connection;
 		instant since;
 	};
 
@@ -56,14 +56,14 @@
 	{
 		/// The process that the connections lead to.
 		routing::replica_incarnation incarnation;
-		std::vector<idle_link> idle;
+		std::vector<idle_connection> idle;
 		unsigned in_use{};
 	};
 
 	[[nodiscard]] entry& entry_of(const routing::replica& to);
 	static void close_idle(entry& of);
-	[[nodiscard]] bool fits(const idle_link& one, bool may_run_again, instant now) const;
-	void remove_idle(const replica_id& id, const upstream_link* link);
+	[[nodiscard]] bool is_usable(const idle_connection& one, bool may_run_again, instant now) const;
+	void remove_idle(const replica_id& id, const upstream_connection* connection);
 
 	asio::io_context& context_;
 	std::string id_field_;
--- a/src/proxy/asio.cpp
+++ b/src/proxy/asio.cpp
@@ -9,12 +9,12 @@
 {
 /// Seconds of silence before a connection is probed, between probes, and probes until it is given up. A peer
 /// that is silently gone is noticed within 3 s: two probes, since one may be lost on the way.
-constexpr int probe_idle_s = 1;
-constexpr int probe_interval_s = 1;
-constexpr int probe_count = 2;
+constexpr int keep_alive_idle_s = 1;
+constexpr int keep_alive_interval_s = 1;
+constexpr int keep_alive_probe_count = 2;
 
 /// Time that sent bytes may stay unacknowledged, in general: as long as the probes take.
-constexpr unsigned unacknowledged_ms = 3000;
+constexpr unsigned unacknowledged_timeout_ms = 3000;
 
 void set_tcp_option(tcp::socket& socket, int name, int value)
 {
@@ -28,15 +28,15 @@
 	error_code ignored;
 	socket.set_option(tcp::no_delay{true}, ignored);
 	socket.set_option(asio::socket_base::keep_alive{true}, ignored);
-	set_tcp_option(socket, TCP_KEEPIDLE, probe_idle_s);
-	set_tcp_option(socket, TCP_KEEPINTVL, probe_interval_s);
-	set_tcp_option(socket, TCP_KEEPCNT, probe_count);
-	set_tcp_option(socket, TCP_USER_TIMEOUT, unacknowledged_ms);
+	set_tcp_option(socket, TCP_KEEPIDLE, keep_alive_idle_s);
+	set_tcp_option(socket, TCP_KEEPINTVL, keep_alive_interval_s);
+	set_tcp_option(socket, TCP_KEEPCNT, keep_alive_probe_count);
+	set_tcp_option(socket, TCP_USER_TIMEOUT, unacknowledged_timeout_ms);
 }
 
-void set_unacknowledged_limit(tcp::socket& socket, duration limit)
+void set_unacknowledged_timeout(tcp::socket& socket, duration timeout)
 {
-	const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(limit).count();
+	const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count();
 	set_tcp_option(socket, TCP_USER_TIMEOUT, static_cast<int>(ms));
 }
 
--- a/src/proxy/caller_link.cpp
+++ b/src/proxy/caller_link.cpp
@@ -10,14 +10,14 @@
 constexpr std::size_t read_size = 4096;
 
 /// Bytes of further requests that are taken in while one is answered; beyond them the caller has to wait.
-constexpr std::size_t pipelined_bytes = 65536;
+constexpr std::size_t max_pipelined_bytes = 65536;
 
 /// Bytes that may wait to be written to a caller. One that reads slower than its answer comes is given up
 /// beyond them: the users' largest answers have a few thousand bytes, and a VM has 160 MB.
-constexpr std::size_t most_pending = 4U << 20U;
+constexpr std::size_t max_pending_bytes = 4U << 20U;
 
 /// A caller that has its last answer gets this long to close; then the connection is closed here.
-constexpr duration close_wait = std::chrono::seconds{1};
+constexpr duration close_timeout = std::chrono::seconds{1};
 
 constexpr int bad_request = 400;
 constexpr int request_timeout = 408;
@@ -30,7 +30,7 @@
 }
 
 /// Position after the empty line that ends a header block; none where it is not there yet.
-std::optional<std::size_t> end_of_block(std::string_view bytes)
+std::optional<std::size_t> find_header_end(std::string_view bytes)
 {
 	const auto crlf = bytes.find("\r\n\r\n");
 	if (crlf != std::string_view::npos)
@@ -43,20 +43,20 @@
 }
 } // namespace
 
-caller_link::caller_link(tcp::socket socket, std::shared_ptr<const caller_link_host> host)
+caller_connection::caller_connection(tcp::socket socket, std::shared_ptr<const caller_link_host> host)
 	: socket_(std::move(socket)), host_(std::move(host)), limits_(host_->limits()),
 	  timer_(socket_.get_executor())
 {
 }
 
-void caller_link::start()
+void caller_connection::start()
 {
 	set_connection_options(socket_);
 	arm_timer(limits_.idle_time);
 	read();
 }
 
-void caller_link::close_if_idle()
+void caller_connection::close_if_idle()
 {
 	if (state_ == state::idle)
 	{
@@ -64,32 +64,32 @@
 	}
 }
 
-void caller_link::send(whole_answer answer)
+void caller_connection::send(whole_answer answer)
 {
 	if (state_ != state::answering)
 	{
 		return;
 	}
-	const bool stays = keep_alive_ && !host_->stopping();
+	const bool stays_open = keep_alive_ && !host_->stopping();
 	header_fields framing{{"Content-Length", std::to_string(answer.body.size())}};
-	if (!stays)
+	if (!stays_open)
 	{
 		framing.push_back({"Connection", "close"});
 	}
 	if (answer.reason.empty())
 	{
-		answer.reason = reason_of(answer.status);
+		answer.reason = reason_phrase(answer.status);
 	}
 	auto bytes = write_head(answer.status, answer.reason, answer.fields, framing);
-	if (!is_head_)
+	if (!is_head_request_)
 	{
 		bytes += answer.body;
 	}
 	write(bytes);
-	finish_answer(stays);
+	finish_response(stays_open);
 }
 
-void caller_link::begin(int status, std::string_view reason, const header_fields& fields)
+void caller_connection::begin(int status, std::string_view reason, const header_fields& fields)
 {
 	if (state_ != state::answering)
 	{
@@ -109,7 +109,7 @@
 	write(write_head(status, reason, fields, framing));
 }
 
-void caller_link::pass(std::string_view bytes)
+void caller_connection::pass(std::string_view bytes)
 {
 	if (state_ != state::answering || bytes.empty())
 	{
@@ -118,7 +118,7 @@
 	write(is_chunked_ ? write_chunk(bytes) : std::string{bytes});
 }
 
-void caller_link::end()
+void caller_connection::end()
 {
 	if (state_ != state::answering)
 	{
@@ -128,10 +128,10 @@
 	{
 		write("0\r\n\r\n");
 	}
-	finish_answer(keep_alive_);
+	finish_response(keep_alive_);
 }
 
-void caller_link::break_off()
+void caller_connection::break_off()
 {
 	if (state_ == state::closed)
 	{
@@ -147,14 +147,14 @@
 		return;
 	}
 	state_ = state::finishing;
-	arm_timer(close_wait);
-	if (!write_under_way_)
+	arm_timer(close_timeout);
+	if (!is_writing_)
 	{
 		close();
 	}
 }
 
-void caller_link::read()
+void caller_connection::read()
 {
 	if (is_reading_ || state_ == state::closed)
 	{
@@ -169,7 +169,7 @@
 		});
 }
 
-void caller_link::on_read(const error_code& error, std::size_t size)
+void caller_connection::on_read(const error_code& error, std::size_t size)
 {
 	if (state_ == state::closed)
 	{
@@ -177,7 +177,7 @@
 	}
 	if (error)
 	{
-		on_gone();
+		on_disconnect();
 		return;
 	}
 	buffer_.commit(size);
@@ -189,13 +189,13 @@
 		return;
 	}
 	advance();
-	if (buffer_.size() < pipelined_bytes)
+	if (buffer_.size() < max_pipelined_bytes)
 	{
 		read();
 	}
 }
 
-void caller_link::advance()
+void caller_connection::advance()
 {
 	bool more = true;
 	while (more && buffer_.size() > 0)
@@ -220,10 +220,10 @@
 	}
 }
 
-bool caller_link::read_head()
+bool caller_connection::read_head()
 {
 	const auto bytes = text_of(buffer_);
-	const auto size = end_of_block(bytes);
+	const auto size = find_header_end(bytes);
 	if (!size || *size > limits_.header_bytes)
 	{
 		if (bytes.size() > limits_.header_bytes)
@@ -232,7 +232,7 @@
 		}
 		return false;
 	}
-	if (const auto fault = find_ambiguity(bytes.substr(0, *size)))
+	if (const auto fault = find_header_fault(bytes.substr(0, *size)))
 	{
 		refuse(bad_request, *fault);
 		return false;
@@ -262,12 +262,12 @@
 	}
 	if (parser_->is_done())
 	{
-		take_request();
+		start_request();
 	}
 	return true;
 }
 
-bool caller_link::read_body()
+bool caller_connection::read_body()
 {
 	error_code error;
 	const auto used = parser_->put(buffer_.data(), error);
@@ -284,13 +284,13 @@
 	}
 	if (parser_->is_done())
 	{
-		take_request();
+		start_request();
 		return true;
 	}
 	return used > 0;
 }
 
-void caller_link::take_request()
+void caller_connection::start_request()
 {
 	auto& message = parser_->get();
 	request_ = {};
@@ -306,7 +306,7 @@
 	request_.body = std::move(message.body());
 	parser_.reset();
 	keep_alive_ = request_.keep_alive;
-	is_head_ = request_.method == "HEAD";
+	is_head_request_ = request_.method == "HEAD";
 	is_chunked_ = false;
 	state_ = state::answering;
 	timer_.cancel();
@@ -322,48 +322,48 @@
 	}
 }
 
-void caller_link::refuse(int status, const std::string& why)
+void caller_connection::refuse(int status, const std::string& why)
 {
 	state_ = state::answering;
 	keep_alive_ = false;
 	send({status, {}, {{"Content-Type", "text/plain"}}, why + "\n"});
 }
 
-void caller_link::write(std::string_view bytes)
+void caller_connection::write(std::string_view bytes)
 {
-	pending_ += bytes;
-	if (pending_.size() > most_pending)
+	pending_output_ += bytes;
+	if (pending_output_.size() > max_pending_bytes)
 	{
 		// Posted: whoever passes bytes on must not be cancelled in the middle of it.
-		asio::post(socket_.get_executor(), [self = shared_from_this()] { self->on_gone(); });
+		asio::post(socket_.get_executor(), [self = shared_from_this()] { self->on_disconnect(); });
 	}
-	if (!write_under_way_)
+	if (!is_writing_)
 	{
 		write_next();
 	}
 }
 
-void caller_link::write_next()
+void caller_connection::write_next()
 {
-	write_under_way_ = true;
-	writing_ = std::exchange(pending_, {});
-	asio::async_write(socket_, asio::buffer(writing_),
+	is_writing_ = true;
+	write_buffer_ = std::exchange(pending_output_, {});
+	asio::async_write(socket_, asio::buffer(write_buffer_),
 		[self = shared_from_this()](const error_code& error, std::size_t) { self->on_written(error); });
 }
 
-void caller_link::on_written(const error_code& error)
+void caller_connection::on_written(const error_code& error)
 {
-	write_under_way_ = false;
+	is_writing_ = false;
 	if (state_ == state::closed)
 	{
 		return;
 	}
 	if (error)
 	{
-		on_gone();
+		on_disconnect();
 		return;
 	}
-	if (!pending_.empty())
+	if (!pending_output_.empty())
 	{
 		write_next();
 		return;
@@ -376,13 +376,13 @@
 	}
 }
 
-void caller_link::finish_answer(bool may_continue)
+void caller_connection::finish_response(bool keep_open)
 {
 	active_.reset();
-	if (!may_continue)
+	if (!keep_open)
 	{
 		state_ = state::finishing;
-		arm_timer(close_wait);
+		arm_timer(close_timeout);
 		return;
 	}
 	state_ = state::idle;
@@ -399,7 +399,7 @@
 		});
 }
 
-void caller_link::arm_timer(duration span)
+void caller_connection::arm_timer(duration span)
 {
 	timer_.expires_after(span);
 	timer_.async_wait(
@@ -412,7 +412,7 @@
 		});
 }
 
-void caller_link::on_timer()
+void caller_connection::on_timer()
 {
 	switch (state_)
 	{
@@ -429,7 +429,7 @@
 	}
 }
 
-void caller_link::on_gone()
+void caller_connection::on_disconnect()
 {
 	if (state_ == state::closed)
 	{
@@ -442,7 +442,7 @@
 	close();
 }
 
-void caller_link::close()
+void caller_connection::close()
 {
 	state_ = state::closed;
 	timer_.cancel();
--- a/src/proxy/event_stream.cpp
+++ b/src/proxy/event_stream.cpp
@@ -25,7 +25,7 @@
 		batch.events.push_back(std::move(event));
 	}
 	partial_.erase(0, start);
-	batch.is_broken = partial_.size() > largest_event_;
+	batch.is_broken = partial_.size() > max_event_bytes_;
 	return batch;
 }
 
@@ -36,11 +36,11 @@
 	{
 		return true;
 	}
-	if (last_ && *id != *last_ + 1)
+	if (last_id_ && *id != *last_id_ + 1)
 	{
 		return false;
 	}
-	last_ = id;
+	last_id_ = id;
 	return true;
 }
 
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -15,7 +15,7 @@
 constexpr int gateway_timeout = 504;
 
 /// Lowest rank that engines know.
-constexpr unsigned lowest_rank = 9;
+constexpr unsigned lowest_priority = 9;
 
 constexpr std::string_view any_model = "*";
 
@@ -29,14 +29,14 @@
 } // namespace
 
 exchange::exchange(gateway& shared, request what, std::shared_ptr<answer_sink> to)
-	: shared_(shared), request_(std::move(what)), to_(std::move(to)), arrived_(steady_now()),
+	: shared_(shared), request_(std::move(what)), sink_(std::move(to)), arrived_(steady_now()),
 	  deadline_timer_(shared.context()), attempt_timer_(shared.context())
 {
 }
 
 duration exchange::time_left() const
 {
-	return ends_at_ - steady_now();
+	return deadline_ - steady_now();
 }
 
 void exchange::dispatch()
@@ -44,40 +44,40 @@
 	const auto now = steady_now();
 	if (workspace_ != nullptr && shared_.trust_in_keys(now) == key_trust::stale)
 	{
-		give_up(unavailable, "configuration too old to trust keys");
+		fail(unavailable, "configuration too old to trust keys");
 		return;
 	}
-	if (shared_.suspects().is_held(key_, now))
+	if (shared_.suspects().is_held(request_key_, now))
 	{
-		refuse_held();
+		refuse_quarantined();
 		return;
 	}
-	if (shared_.suspects().is_open(key_, now))
+	if (shared_.suspects().is_open(request_key_, now))
 	{
 		// A round trip later it is known whether the replica ended, and whether others did with it.
-		shared_.ends().when_settled(
+		shared_.exit_detector().when_resolved(
 			[self = shared_from_this()]
 			{
-				if (!self->over_)
+				if (!self->finished_)
 				{
 					self->dispatch();
 				}
 			});
 		return;
 	}
-	if (time_left() < shared_.tuning().least_time)
+	if (time_left() < shared_.tuning().min_attempt_time)
 	{
-		give_up(gateway_timeout, "no time left");
+		fail(gateway_timeout, "no time left");
 		return;
 	}
-	if (attempts_ > 0 && !shared_.budget(service_id_).take(now))
+	if (attempt_count_ > 0 && !shared_.budget(service_id_).take(now))
 	{
-		give_up(unavailable, "retry budget used up");
+		fail(unavailable, "retry budget used up");
 		return;
 	}
-	if (attempts_ == 0)
+	if (attempt_count_ == 0)
 	{
-		size_ = routing::size_policy::first(*route_, route_->attempts > 1 && route_->may_run_again());
+		model_step_ = routing::size_policy::first(*route_, route_->attempts > 1 && route_->may_run_again());
 	}
 	const auto replica = choose_replica();
 	if (!replica)
@@ -97,7 +97,7 @@
 /// keep its caller waiting for nothing, and its prompt would delay those that can still be served.
 std::optional<duration> exchange::time_until_servable(const routing::replica& at) const
 {
-	if (!is_for_engines() || trace_ != trace::not_run)
+	if (!targets_engine() || execution_ != execution::not_run)
 	{
 		return std::nullopt;
 	}
@@ -107,7 +107,7 @@
 		return std::nullopt;
 	}
 	const auto expected = time_to_first_token(at);
-	if (expected < time_left() * shared_.tuning().refusal_margin)
+	if (expected < time_left() * shared_.tuning().refusal_factor)
 	{
 		return std::nullopt;
 	}
@@ -117,47 +117,47 @@
 routing::replica_ptr exchange::choose_replica() const
 {
 	const auto now = steady_now();
-	if (shared_.suspects().is_nearly_held(key_, now))
+	if (shared_.suspects().is_nearly_held(request_key_, now))
 	{
 		// Both would be blamed for the end of a replica that they share: a request that only stood beside the
 		// cause twice would be held back with it.
-		const auto alone = choose_among(
-			[&](const routing::replica& one) { return !shared_.runs_other_suspect(one, key_, now); });
-		if (alone)
+		const auto unshared = choose_replica_among(
+			[&](const routing::replica& one) { return !shared_.runs_another_suspect(one, request_key_, now); });
+		if (unshared)
 		{
-			return alone;
+			return unshared;
 		}
 	}
-	return choose_among([](const routing::replica&) { return true; });
+	return choose_replica_among([](const routing::replica&) { return true; });
 }
 
-routing::replica_ptr exchange::choose_among(const replica_filter& allowed) const
+routing::replica_ptr exchange::choose_replica_among(const replica_filter& allowed) const
 {
 	const auto now = steady_now();
 	auto& versions = shared_.versions();
-	std::string version = versions.version_for(service_id_, session_point_, now);
+	std::string version = versions.version_for(service_id_, session_hash_, now);
 	routing::selection what;
 	what.service = service_id_;
-	what.affinity = route_->keeps_prefixes ? prompt_.shared_parts : 0;
+	what.affinity = route_->keeps_prefixes ? prompt_.prefix_hash : 0;
 	what.model_weight = model_weight();
-	what.shared_work = prompt_.shared_tokens * what.model_weight;
-	what.is_engine = is_for_engines();
+	what.shared_work = prompt_.prefix_tokens * what.model_weight;
+	what.is_engine = targets_engine();
 	what.usable = [&](const routing::replica& one)
 	{
-		const bool was_tried = std::find(tried_.begin(), tried_.end(), one.id) != tried_.end();
+		const bool was_tried = std::find(tried_replicas_.begin(), tried_replicas_.end(), one.id) != tried_replicas_.end();
 		return !was_tried && (version.empty() || one.version == version) && versions.is_in_use(one, now) &&
-			   has_room(one) && shared_.may_send(one, now) && allowed(one);
+			   has_free_connection(one) && shared_.may_send(one, now) && allowed(one);
 	};
 	auto chosen = shared_.selector().choose(what, now);
 	if (!chosen)
 	{
-		version = versions.fallback_for(service_id_, session_point_, now);
+		version = versions.fallback_for(service_id_, session_hash_, now);
 		chosen = version.empty() ? nullptr : shared_.selector().choose(what, now);
 	}
 	return chosen;
 }
 
-bool exchange::has_room(const routing::replica& one) const
+bool exchange::has_free_connection(const routing::replica& one) const
 {
 	const auto limit = service_ == nullptr ? 0 : service_->connections_per_replica;
 	if (limit == 0 || shared_.pool().idle(one.id) > 0)
@@ -166,10 +166,10 @@
 	}
 	// Replicas reset connections beyond their limit, which counts those of all VMs.
 	const auto share = limit / shared_.vm_count();
-	return shared_.pool().open(one.id) < std::max(shared_.tuning().least_connections, share);
+	return shared_.pool().open(one.id) < std::max(shared_.tuning().min_connections, share);
 }
 
-bool exchange::is_for_engines() const
+bool exchange::targets_engine() const
 {
 	return service_ != nullptr && service_->is_engine;
 }
@@ -183,42 +183,42 @@
 	}
 	if (!route_->models.empty())
 	{
-		return service_->relative_cost(route_->models[size_.index]);
+		return service_->relative_cost(route_->models[model_step_.index]);
 	}
-	const auto* named = request_.find(shared_.names().model);
-	return named == nullptr ? 1 : service_->relative_cost(model_id{*named});
+	const auto* requested_model = request_.find(shared_.names().model);
+	return requested_model == nullptr ? 1 : service_->relative_cost(model_id{*requested_model});
 }
 
 double exchange::work_before_first_token(const routing::replica& at) const
 {
-	const auto own = prompt_.expected_reading() * model_weight();
+	const auto own = prompt_.expected_prefill_tokens() * model_weight();
 	return shared_.selector().work_at(at, steady_now()) + own;
 }
 
 /// If the request were sent there now.
 duration exchange::time_to_first_token(const routing::replica& at) const
 {
-	return shared_.first_tokens(service_id_).expected(work_before_first_token(at), steady_now());
+	return shared_.first_token_times(service_id_).expected(work_before_first_token(at), steady_now());
 }
 
-header_fields exchange::fields_for(const routing::replica& to) const
+header_fields exchange::upstream_fields(const routing::replica& to) const
 {
 	const auto& names = shared_.names();
 	const bool chooses_model = !route_->models.empty();
 	header_fields fields;
-	for (auto& one : end_to_end(request_.fields))
+	for (auto& one : without_hop_by_hop_fields(request_.fields))
 	{
 		const bool is_reserved = std::any_of(names.reserved.begin(), names.reserved.end(),
-			[&](const std::string& name) { return same_name(name, one.name); });
-		const bool is_replaced = same_name(one.name, names.deadline_ms) ||
-								 (same_name(one.name, names.last_event_id) && events_.last_id());
-		if (is_reserved || is_replaced || (workspace_ != nullptr && same_name(one.name, "Authorization")))
+			[&](const std::string& name) { return equals_ignore_case(name, one.name); });
+		const bool is_replaced = equals_ignore_case(one.name, names.deadline_ms) ||
+								 (equals_ignore_case(one.name, names.last_event_id) && events_.last_id());
+		if (is_reserved || is_replaced || (workspace_ != nullptr && equals_ignore_case(one.name, "Authorization")))
 		{
 			continue;
 		}
-		if (chooses_model && same_name(one.name, names.model) && one.value == any_model)
+		if (chooses_model && equals_ignore_case(one.name, names.model) && one.value == any_model)
 		{
-			one.value = route_->models[size_.index].str();
+			one.value = route_->models[model_step_.index].str();
 		}
 		fields.push_back(std::move(one));
 	}
@@ -231,9 +231,9 @@
 	}
 	if (route_->streams)
 	{
-		const auto own_rank = workspace_ == nullptr ? std::nullopt : workspace_->priority;
-		const auto rank = std::min(lowest_rank, own_rank.value_or(route_->priority));
-		fields.push_back({names.priority, std::to_string(rank)});
+		const auto workspace_priority = workspace_ == nullptr ? std::nullopt : workspace_->priority;
+		const auto effective_priority = std::min(lowest_priority, workspace_priority.value_or(route_->priority));
+		fields.push_back({names.priority, std::to_string(effective_priority)});
 		if (events_.last_id())
 		{
 			fields.push_back({names.last_event_id, std::to_string(*events_.last_id())});
@@ -242,56 +242,56 @@
 	return fields;
 }
 
-bool exchange::may_try_again() const
+bool exchange::may_retry() const
 {
-	return attempts_ < route_->attempts && time_left() >= shared_.tuning().least_time &&
-		   (trace_ == trace::not_run || route_->may_run_again()) &&
+	return attempt_count_ < route_->attempts && time_left() >= shared_.tuning().min_attempt_time &&
+		   (execution_ == execution::not_run || route_->may_run_again()) &&
 		   shared_.budget(service_id_).left(steady_now()) >= 1;
 }
 
 void exchange::send_to(const routing::replica_ptr& to)
 {
 	const auto now = steady_now();
-	++attempts_;
+	++attempt_count_;
 	last_replica_ = to;
-	last_was_suspected_ = shared_.replicas().is_suspected(to->id);
+	last_was_missing_ = shared_.replicas().is_suspected(to->id);
 	attempt_.emplace();
-	attempt_->to = to;
+	attempt_->target = to;
 	attempt_->sent_at = now;
-	attempt_->trace_before = trace_;
-	attempt_->size = size_;
-	attempt_->run = shared_.ends().runs().begin(*to, key_, now);
+	attempt_->execution_before = execution_;
+	attempt_->size = model_step_;
+	attempt_->run = shared_.exit_detector().runs().begin(*to, request_key_, now);
 	// From here on a replica may run it at any moment, whatever is heard of it.
-	trace_ = trace::may_have_run;
+	execution_ = execution::may_have_run;
 	attempt_->is_cold = shared_.cold_replicas().is_cold(*to, now);
 	attempt_->is_limited = shared_.announced().is_limited(*to);
 	shared_.note_sent(*to, now);
-	attempt_->link = shared_.pool().take(to, route_->may_run_again(), now);
-	attempt_->work_ahead = work_before_first_token(*to);
+	attempt_->connection = shared_.pool().take(to, route_->may_run_again(), now);
+	attempt_->queued_work = work_before_first_token(*to);
 	const auto weight = model_weight();
-	attempt_->work = prompt_.tokens_in * weight + prompt_.generating_work() * weight;
+	attempt_->work = prompt_.input_tokens * weight + prompt_.decode_work() * weight;
 	shared_.selector().note_sent(*to, attempt_->work);
-	attempt_->connected = attempt_->link->was_used();
-	arm_attempt_timer(attempt_->connected ? first_byte_limit() : shared_.tuning().connect_limit);
+	attempt_->connected = attempt_->connection->was_used();
+	arm_attempt_timer(attempt_->connected ? first_byte_limit() : shared_.tuning().connect_timeout);
 
 	const auto self = shared_from_this();
-	upstream_hooks hooks;
-	hooks.connected = [self] { self->on_connected(); };
-	hooks.began = [self](answer_head head) { self->on_head(std::move(head)); };
-	hooks.brought = [self](std::string_view bytes) { self->on_body(bytes); };
-	hooks.ended = [self] { self->on_end(); };
-	hooks.failed = [self](upstream_fault fault) { self->on_fault(fault); };
-	upstream_request what{write_request(request_, fields_for(*to)), id_, request_.method == "HEAD"};
+	upstream_callbacks callbacks;
+	callbacks.connection_opened = [self] { self->on_connected(); };
+	callbacks.head_received = [self](answer_head head) { self->on_head(std::move(head)); };
+	callbacks.body_received = [self](std::string_view bytes) { self->on_body(bytes); };
+	callbacks.response_completed = [self] { self->on_end(); };
+	callbacks.request_failed = [self](upstream_fault fault) { self->on_fault(fault); };
+	upstream_request what{serialize_request(request_, upstream_fields(*to)), id_, request_.method == "HEAD"};
 	if (route_->may_run_again())
 	{
-		what.unacknowledged_limit = shared_.tuning().unacknowledged_limit;
+		what.unacknowledged_timeout = shared_.tuning().unacknowledged_timeout;
 	}
-	attempt_->link->send(std::move(what), hooks);
+	attempt_->connection->send(std::move(what), callbacks);
 }
 
-void exchange::try_again_or(const std::function<void()>& otherwise)
+void exchange::retry_or(const std::function<void()>& otherwise)
 {
-	if (!may_try_again())
+	if (!may_retry())
 	{
 		otherwise();
 		return;
@@ -302,49 +302,49 @@
 
 /// What an engine has read delays nobody else. Counted until the answer's end, engines with long answers
 /// looked busier than those with prompts to read, and callers were sent to these.
-void exchange::note_prompt_read()
+void exchange::release_prefill_work()
 {
-	const auto read = prompt_.tokens_in * model_weight();
-	shared_.selector().note_part_done(*attempt_->to, read);
+	const auto read = prompt_.input_tokens * model_weight();
+	shared_.selector().note_part_done(*attempt_->target, read);
 	attempt_->work -= read;
 }
 
-void exchange::end_attempt(bool answered_whole)
+void exchange::end_attempt(bool is_complete)
 {
 	if (!attempt_)
 	{
 		return;
 	}
 	attempt_timer_.cancel();
-	shared_.selector().note_over(*attempt_->to, attempt_->work);
+	shared_.selector().note_over(*attempt_->target, attempt_->work);
 	note_run_end();
-	if (!answered_whole)
+	if (!is_complete)
 	{
-		attempt_->link->close();
+		attempt_->connection->close();
 	}
-	shared_.pool().give_back(attempt_->link, steady_now());
+	shared_.pool().give_back(attempt_->connection, steady_now());
 	attempt_.reset();
 }
 
 void exchange::note_run_end()
 {
 	const auto now = steady_now();
-	auto& runs = shared_.ends().runs();
-	if (attempt_->run_ends == quarantine::run_end::survived)
+	auto& runs = shared_.exit_detector().runs();
+	if (attempt_->run_outcome == quarantine::run_end::survived)
 	{
-		shared_.suspects().note_survived(key_, runs.life_of(*attempt_->to), now);
+		shared_.suspects().note_survived(request_key_, runs.life_of(*attempt_->target), now);
 	}
-	runs.end(*attempt_->to, attempt_->run, attempt_->run_ends, now);
+	runs.end(*attempt_->target, attempt_->run, attempt_->run_outcome, now);
 }
 
 void exchange::note_result(routing::replica_result result)
 {
-	shared_.selector().note_result(*attempt_->to, result, attempt_->first_byte, steady_now());
+	shared_.selector().note_result(*attempt_->target, result, attempt_->first_byte, steady_now());
 }
 
 void exchange::cancel()
 {
-	if (over_)
+	if (finished_)
 	{
 		return;
 	}
@@ -353,13 +353,13 @@
 
 void exchange::on_deadline()
 {
-	if (answer_begun_)
+	if (response_started_)
 	{
-		to_->break_off();
+		sink_->break_off();
 		finish(request_outcome::broken_off, 0, "time limit");
 		return;
 	}
-	give_up(gateway_timeout, "time limit");
+	fail(gateway_timeout, "time limit");
 }
 
 void exchange::refuse(int status, std::string reason)
@@ -369,20 +369,20 @@
 		refuse_until(shared_.tuning().retry_after, std::move(reason));
 		return;
 	}
-	answer_here(status, std::move(reason), {});
+	send_local_reply(status, std::move(reason), {});
 }
 
 /// 502: a 503 would ask the caller to come back and end the next replica, and a 4xx would say that the
 /// request is wrong, which is likely and not known.
-void exchange::refuse_held()
+void exchange::refuse_quarantined()
 {
 	const std::string reason = "replicas end under this request";
-	if (answer_begun_)
+	if (response_started_)
 	{
-		give_up(bad_gateway, reason);
+		fail(bad_gateway, reason);
 		return;
 	}
-	answer_here(bad_gateway, reason, {});
+	send_local_reply(bad_gateway, reason, {});
 }
 
 /// Those who are told to wait for the same replicas come back one after the other.
@@ -390,46 +390,46 @@
 {
 	const auto now = steady_now();
 	auto [reason, wait] = shared_.why_unavailable(service_id_, now);
-	if (trace_ != trace::not_run || answer_begun_)
+	if (execution_ != execution::not_run || response_started_)
 	{
-		give_up(unavailable, std::move(reason));
+		fail(unavailable, std::move(reason));
 		return;
 	}
-	const auto spread = 1 + shared_.tuning().retry_spread * unit_of(stable_hash(id_));
+	const auto spread = 1 + shared_.tuning().retry_after_jitter * unit_of(stable_hash(id_));
 	refuse_until(scaled(wait, spread), std::move(reason));
 }
 
 void exchange::refuse_until(duration wait, std::string reason)
 {
-	answer_here(unavailable, std::move(reason), {{"Retry-After", seconds_text(wait)}});
+	send_local_reply(unavailable, std::move(reason), {{"Retry-After", seconds_text(wait)}});
 }
 
-void exchange::give_up(int status, std::string reason)
+void exchange::fail(int status, std::string reason)
 {
-	if (answer_begun_)
+	if (response_started_)
 	{
-		to_->break_off();
+		sink_->break_off();
 		finish(request_outcome::broken_off, 0, std::move(reason));
 		return;
 	}
 	// A refusal promises that nothing ran; where something may have, the caller must not be told so.
-	if (trace_ == trace::not_run)
+	if (execution_ == execution::not_run)
 	{
 		refuse(unavailable, std::move(reason));
 		return;
 	}
-	answer_here(status == gateway_timeout ? gateway_timeout : bad_gateway, std::move(reason), {});
+	send_local_reply(status == gateway_timeout ? gateway_timeout : bad_gateway, std::move(reason), {});
 }
 
-void exchange::answer_here(int status, std::string reason, header_fields fields)
+void exchange::send_local_reply(int status, std::string reason, header_fields fields)
 {
 	if (!id_.empty())
 	{
 		fields.push_back({shared_.names().request_id, id_});
 	}
 	fields.push_back({"Content-Type", "text/plain"});
-	const auto outcome = trace_ == trace::not_run ? request_outcome::refused : request_outcome::failed;
-	const auto sink = to_;
+	const auto outcome = execution_ == execution::not_run ? request_outcome::refused : request_outcome::failed;
+	const auto sink = sink_;
 	auto body = reason + "\n";
 	finish(outcome, status, std::move(reason));
 	sink->send({status, {}, std::move(fields), std::move(body)});
@@ -437,29 +437,29 @@
 
 void exchange::finish(request_outcome outcome, int status, std::string reason)
 {
-	over_ = true;
+	finished_ = true;
 	end_attempt(false);
 	deadline_timer_.cancel();
 	const auto now = steady_now();
-	request_line line;
-	line.id = id_;
-	line.content = key_.str();
-	line.route = route_ == nullptr ? "" : route_->id.str();
-	line.workspace = workspace_ == nullptr ? "" : workspace_->id.str();
-	line.replica = last_replica_ ? last_replica_->id.str() : "";
-	line.version = last_replica_ ? last_replica_->version : "";
-	line.model = route_ == nullptr || route_->models.empty() ? "" : route_->models[size_.index].str();
-	line.outcome = outcome;
-	line.status = status;
-	line.reason = std::move(reason);
-	line.attempts = attempts_;
-	line.took = now - arrived_;
-	line.first_byte = first_byte_;
-	line.choice = size_choice_;
-	line.config = catalog_ ? catalog_->version().value() : 0;
-	line.config_age = shared_.confirmed_age(now).value_or(duration{0});
-	line.replicas_age = shared_.replicas_age(now).value_or(duration{0});
-	line.replica_is_suspected = last_was_suspected_;
-	shared_.log().note(line, now);
+	request_record record;
+	record.id = id_;
+	record.content_key = request_key_.str();
+	record.route = route_ == nullptr ? "" : route_->id.str();
+	record.workspace = workspace_ == nullptr ? "" : workspace_->id.str();
+	record.replica = last_replica_ ? last_replica_->id.str() : "";
+	record.version = last_replica_ ? last_replica_->version : "";
+	record.model = route_ == nullptr || route_->models.empty() ? "" : route_->models[model_step_.index].str();
+	record.outcome = outcome;
+	record.status = status;
+	record.reason = std::move(reason);
+	record.attempts = attempt_count_;
+	record.elapsed = now - arrived_;
+	record.first_byte = first_byte_time_;
+	record.escalation = escalation_choice_;
+	record.config_version = catalog_ ? catalog_->version().value() : 0;
+	record.config_age = shared_.catalog_age(now).value_or(duration{0});
+	record.replicas_age = shared_.replicas_age(now).value_or(duration{0});
+	record.replica_is_suspected = last_was_missing_;
+	shared_.log().note(record, now);
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/exchange_admission.cpp
+++ b/src/proxy/exchange_admission.cpp
@@ -16,7 +16,7 @@
 constexpr int unavailable = 503;
 
 /// The key in an `Authorization` header; none where it is of another scheme.
-std::optional<std::string> key_in(const std::string* value, const std::string& scheme)
+std::optional<std::string> parse_key(const std::string* value, const std::string& scheme)
 {
 	if (value == nullptr || value->size() <= scheme.size() + 1 || !value->starts_with(scheme) ||
 		(*value)[scheme.size()] != ' ')
@@ -40,7 +40,7 @@
 void exchange::await_ready()
 {
 	shared_.when_ready([self = shared_from_this()] { self->begin(); });
-	deadline_timer_.expires_after(shared_.tuning().longest_start);
+	deadline_timer_.expires_after(shared_.tuning().max_ready_wait);
 	deadline_timer_.async_wait(
 		[self = shared_from_this()](const error_code& error)
 		{
@@ -53,7 +53,7 @@
 
 void exchange::begin()
 {
-	if (over_ || std::exchange(begun_, true))
+	if (finished_ || std::exchange(started_, true))
 	{
 		return;
 	}
@@ -67,7 +67,7 @@
 	deadline_timer_.async_wait(
 		[self = shared_from_this()](const error_code& error)
 		{
-			if (!error && !self->over_)
+			if (!error && !self->finished_)
 			{
 				self->on_deadline();
 			}
@@ -100,20 +100,20 @@
 		refuse_unknown(not_found, "no route");
 		return false;
 	}
-	if (!shared_.takes_requests(route_->streams, arrived_))
+	if (!shared_.accepts_requests(route_->streams, arrived_))
 	{
 		refuse(unavailable, "stopping");
 		return false;
 	}
-	if (!admit_key())
+	if (!authenticate())
 	{
 		return false;
 	}
-	key_ = read_key();
+	request_key_ = compute_request_key();
 	const auto* session = request_.find(names.session);
-	session_point_ =
+	session_hash_ =
 		mix_hash(stable_hash(session != nullptr ? *session : id_), stable_hash(route_->id.str()));
-	service_id_ = routing::pick_service(*route_, session_point_);
+	service_id_ = routing::pick_service(*route_, session_hash_);
 	service_ = catalog_->find_service(service_id_);
 	prompt_ = read_prompt(request_.find(names.token_counts), request_.find(names.prompt_parts));
 	if (const auto* last = request_.find(names.last_event_id))
@@ -135,7 +135,7 @@
 	refuse(unavailable, "configuration too old to tell: " + reason);
 }
 
-bool exchange::admit_key()
+bool exchange::authenticate()
 {
 	if (route_->is_public || !catalog_->needs_keys())
 	{
@@ -146,7 +146,7 @@
 		refuse(unavailable, "configuration too old to trust keys");
 		return false;
 	}
-	const auto key = key_in(request_.find("Authorization"), shared_.names().key_scheme);
+	const auto key = parse_key(request_.find("Authorization"), shared_.names().key_scheme);
 	workspace_ = key ? catalog_->find_workspace(*key) : nullptr;
 	if (workspace_ == nullptr)
 	{
@@ -156,7 +156,7 @@
 	return true;
 }
 
-quarantine::request_key exchange::read_key() const
+quarantine::request_key exchange::compute_request_key() const
 {
 	quarantine::request_content content;
 	content.method = request_.method;
@@ -181,6 +181,6 @@
 			span = std::min<duration>(span, std::chrono::milliseconds{ms});
 		}
 	}
-	ends_at_ = arrived_ + span;
+	deadline_ = arrived_ + span;
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -14,21 +14,21 @@
 	log::write(log::level::info, "replica ejected",
 		{{"replica", id.str()}, {"failure_rate", rate}, {"for_ms", to_milliseconds(span)}});
 }
-void log_replica(const routing::replica& one, routing::replica_change change)
+void log_replica_change(const routing::replica& one, routing::replica_change change)
 {
 	log::write(log::level::info, "replica",
 		{{"replica", one.id.str()}, {"service", one.service.str()}, {"address", one.at.str()},
 			{"version", one.version}, {"change", routing::name_of(change)}});
 }
 
-void log_cold(const routing::replica& one, routing::cold_reason reason, duration left)
+void log_cold_replica(const routing::replica& one, routing::cold_reason reason, duration left)
 {
 	log::write(log::level::info, "replica is cold",
 		{{"replica", one.id.str()}, {"service", one.service.str()}, {"failure_domain", one.domain.str()},
 			{"why", routing::name_of(reason)}, {"for_ms", to_milliseconds(left)}});
 }
 
-void log_limit(
+void log_load_limit(
 	const routing::replica& one, routing::limit_change change, const routing::limit_statement& said)
 {
 	log::write(log::level::info, "replica limits its load",
@@ -36,7 +36,7 @@
 			{"requests_per_s", said.requests_per_s.value_or(0)}, {"request", said.request}});
 }
 
-void log_rest(const routing::replica& one, const std::string& request, duration left)
+void log_backoff(const routing::replica& one, const std::string& request, duration left)
 {
 	log::write(log::level::info, "replica wants rest",
 		{{"replica", one.id.str()}, {"service", one.service.str()}, {"for_ms", to_milliseconds(left)},
@@ -56,7 +56,7 @@
 	return limits;
 }
 
-void log_unknown(statement_source source, const std::string& name, const std::string& who)
+void log_unknown_name(statement_source source, const std::string& name, const std::string& who)
 {
 	log::write(
 		log::level::warn, "statement not known", {{"where", name_of(source)}, {"name", name}, {"from", who}});
@@ -70,14 +70,14 @@
 }
 
 /// Keys that one line names, at most.
-constexpr std::size_t most_keys_in_line = 8;
+constexpr std::size_t max_logged_keys = 8;
 
-void log_replica_end(const replica_end& end, bool was_expected)
+void log_replica_exit(const replica_exit& end, bool was_expected)
 {
 	json keys = json::array();
 	for (const auto& key : end.requests)
 	{
-		if (keys.size() < most_keys_in_line)
+		if (keys.size() < max_logged_keys)
 		{
 			keys.push_back(key.str());
 		}
@@ -138,11 +138,11 @@
 	: context_(context), names_(std::move(names)), bounds_(bounds), log_(log), tuning_(tuning),
 	  replicas_([this](const routing::replica& one, routing::replica_change change)
 		  { on_replica_change(one, change); }),
-	  evacuated_([this](const failure_domain_id& domain, bool is_evacuated)
+	  evacuated_domains_([this](const failure_domain_id& domain, bool is_evacuated)
 		  { on_evacuation(domain, is_evacuated); }),
-	  cold_replicas_(vms_, log_cold), announced_(vms_, log_limit), resting_(log_rest),
+	  cold_replicas_(vms_, log_cold_replica), load_limits_(vms_, log_load_limit), backoffs_(log_backoff),
 	  selector_(replicas_, std::move(own_domain), random, log_ejection), pool_(context, names_.request_id),
-	  suspects_(log_hold), ends_(context, end_hooks()), unknown_(log_unknown),
+	  suspects_(log_hold), exit_detector_(context, exit_detector_hooks()), unknown_names_(log_unknown_name),
 	  versions_(std::move(random), log_shift, shift_tuning_for(bounds_))
 {
 }
@@ -155,18 +155,18 @@
 	}
 	catalog_ = std::move(next);
 	cold_replicas_.set_limits(cold_limits_of(*catalog_));
-	tell_ready();
+	run_ready_hooks();
 	return true;
 }
 
 void gateway::take_replicas(std::vector<routing::replica> entries, instant now)
 {
 	replicas_.replace_all(std::move(entries), now);
-	tell_ready();
+	run_ready_hooks();
 }
 
 /// Posted: who brought the last news may still have to say how fresh it is.
-void gateway::tell_ready()
+void gateway::run_ready_hooks()
 {
 	if (!ready())
 	{
@@ -180,20 +180,20 @@
 
 void gateway::confirm(instant sent_at)
 {
-	if (!confirmed_at_ || *confirmed_at_ < sent_at)
+	if (!catalog_confirmed_at_ || *catalog_confirmed_at_ < sent_at)
 	{
-		confirmed_at_ = sent_at;
+		catalog_confirmed_at_ = sent_at;
 	}
 }
 
-std::optional<duration> gateway::confirmed_age(instant now) const
+std::optional<duration> gateway::catalog_age(instant now) const
 {
-	return confirmed_at_ ? std::optional{now - *confirmed_at_} : std::nullopt;
+	return catalog_confirmed_at_ ? std::optional{now - *catalog_confirmed_at_} : std::nullopt;
 }
 
 bool gateway::knows_all_routes(instant now) const
 {
-	const auto age = confirmed_age(now);
+	const auto age = catalog_age(now);
 	return !bounds_.change_limit || (age && *age < *bounds_.change_limit);
 }
 
@@ -213,14 +213,14 @@
 	{
 		return key_trust::trusted;
 	}
-	const auto age = confirmed_age(now);
+	const auto age = catalog_age(now);
 	return age && *age < *bounds_.revocation_time ? key_trust::trusted : key_trust::stale;
 }
 
-bool gateway::takes_requests(bool is_stream, instant now) const
+bool gateway::accepts_requests(bool is_stream, instant now) const
 {
-	const auto last = is_stream ? tuning_.streams_while_stopping : tuning_.requests_while_stopping;
-	return !stop_began_ || now - *stop_began_ < last;
+	const auto last = is_stream ? tuning_.stream_acceptance_while_stopping : tuning_.request_acceptance_while_stopping;
+	return !stop_started_at_ || now - *stop_started_at_ < last;
 }
 
 unavailability gateway::why_unavailable(const service_id& service, instant now) const
@@ -234,8 +234,8 @@
 		}
 	};
 	consider("replicas are cold", cold_replicas_.time_until_warm(service, now));
-	consider("replicas limit their load", announced_.time_until_share(service, now));
-	consider("replicas want rest", resting_.time_until_back(service, now));
+	consider("replicas limit their load", load_limits_.time_until_share(service, now));
+	consider("replicas want rest", backoffs_.time_until_back(service, now));
 	if (first)
 	{
 		first->retry_after = std::max(first->retry_after, tuning_.retry_after);
@@ -243,7 +243,7 @@
 	}
 	const auto& all = replicas_.of(service);
 	const bool is_evacuated = std::any_of(
-		all.begin(), all.end(), [this](const auto& one) { return evacuated_.contains(one->domain); });
+		all.begin(), all.end(), [this](const auto& one) { return evacuated_domains_.contains(one->domain); });
 	const bool all_leave =
 		!all.empty() && std::all_of(all.begin(), all.end(), [](const auto& one) { return one->leaving; });
 	const auto* reason = is_evacuated ? "failure domains are evacuated"
@@ -254,15 +254,15 @@
 
 bool gateway::may_send(const routing::replica& to, instant now) const
 {
-	return !evacuated_.contains(to.domain) && cold_replicas_.takes(to, now) && announced_.takes(to, now) &&
-		   resting_.takes(to, now);
+	return !evacuated_domains_.contains(to.domain) && cold_replicas_.takes(to, now) && load_limits_.takes(to, now) &&
+		   backoffs_.takes(to, now);
 }
 
 void gateway::note_sent(const routing::replica& to, instant now)
 {
 	cold_replicas_.note_sent(to, now);
-	announced_.note_sent(to, now);
-	resting_.note_sent(to, now);
+	load_limits_.note_sent(to, now);
+	backoffs_.note_sent(to, now);
 }
 
 std::shared_ptr<active_request> gateway::handle(request what, std::shared_ptr<answer_sink> to)
@@ -283,7 +283,7 @@
 	metrics::write_head(
 		out, "gingerdyke_configuration_version", "gauge", "Configuration in force; 0: none yet.");
 	out << "gingerdyke_configuration_version " << (catalog_ ? catalog_->version().value() : 0) << "\n";
-	if (const auto age = confirmed_age(now))
+	if (const auto age = catalog_age(now))
 	{
 		metrics::write_head(out, "gingerdyke_configuration_age_seconds", "gauge",
 			"Time since the configuration was last known to be the newest.");
@@ -304,24 +304,24 @@
 	out << "gingerdyke_replicas_cold " << cold_replicas_.cold_count(now) << "\n";
 	metrics::write_head(out, "gingerdyke_replicas_limited", "gauge",
 		"Replicas that name a limit of their load in their answers.");
-	out << "gingerdyke_replicas_limited " << announced_.size() << "\n";
+	out << "gingerdyke_replicas_limited " << load_limits_.size() << "\n";
 	metrics::write_head(
 		out, "gingerdyke_replicas_resting", "gauge", "Replicas that want nothing from this VM for a time.");
-	out << "gingerdyke_replicas_resting " << resting_.count(now) << "\n";
+	out << "gingerdyke_replicas_resting " << backoffs_.count(now) << "\n";
 	metrics::write_head(out, "gingerdyke_failure_domains_evacuated", "gauge",
 		"Failure domains whose replicas get nothing by an operator's order.");
-	out << "gingerdyke_failure_domains_evacuated " << evacuated_.size() << "\n";
+	out << "gingerdyke_failure_domains_evacuated " << evacuated_domains_.size() << "\n";
 	metrics::write_head(out, "gingerdyke_replicas", "gauge", "Replicas known.");
 	out << "gingerdyke_replicas " << replicas_.size() << "\n";
 	metrics::write_head(out, "gingerdyke_replica_ends_total", "counter",
 		"Replicas whose process ended while this VM had requests there, or before one was sent.");
-	out << "gingerdyke_replica_ends_total " << replica_ends_ << "\n";
+	out << "gingerdyke_replica_ends_total " << replica_exits_ << "\n";
 	metrics::write_head(out, "gingerdyke_replica_statements_unreadable_total", "counter",
 		"Answers in which a replica says something of itself that can't be read.");
 	out << "gingerdyke_replica_statements_unreadable_total " << unreadable_statements_ << "\n";
 	metrics::write_head(out, "gingerdyke_statements_unknown_total", "counter",
 		"Statements of replicas, their entries and operators that are not known.");
-	out << "gingerdyke_statements_unknown_total " << unknown_.count() << "\n";
+	out << "gingerdyke_statements_unknown_total " << unknown_names_.count() << "\n";
 	metrics::write_head(
 		out, "gingerdyke_requests_suspected", "gauge", "Requests under which replicas ended.");
 	out << "gingerdyke_requests_suspected " << suspects_.size() << "\n";
@@ -355,11 +355,11 @@
 	}
 }
 
-void gateway::note_unreadable(const routing::replica& from, const std::string& value)
+void gateway::note_unreadable_statement(const routing::replica& from, const std::string& value)
 {
 	constexpr std::size_t longest = 60;
 	++unreadable_statements_;
-	if (unreadable_replicas_.insert(from.id).second)
+	if (logged_unreadable_replicas_.insert(from.id).second)
 	{
 		log::write(log::level::warn, "replica's statement not understood",
 			{{"replica", from.id.str()}, {"service", from.service.str()},
@@ -367,31 +367,31 @@
 	}
 }
 
-replica_end_watch::hooks gateway::end_hooks()
+replica_exit_detector::hooks gateway::exit_detector_hooks()
 {
-	replica_end_watch::hooks hooks;
-	hooks.presumed = [this](const replica_end& end)
+	replica_exit_detector::hooks hooks;
+	hooks.presumed = [this](const replica_exit& end)
 	{ suspects_.presume(end.life, end.requests, steady_now()); };
-	hooks.settled = [this](const replica_end& end, bool has_ended, const auto& together)
-	{ on_replica_end(end, has_ended, together); };
+	hooks.resolved = [this](const replica_exit& end, bool has_exited, const auto& together)
+	{ on_replica_exit(end, has_exited, together); };
 	return hooks;
 }
 
-void gateway::on_replica_end(
-	const replica_end& end, bool has_ended, const std::vector<quarantine::process_life>& together)
+void gateway::on_replica_exit(
+	const replica_exit& end, bool has_exited, const std::vector<quarantine::process_life>& together)
 {
-	if (!has_ended)
+	if (!has_exited)
 	{
 		suspects_.retract(end.life);
 		return;
 	}
 	const auto now = steady_now();
-	++replica_ends_;
+	++replica_exits_;
 	// One that said that it leaves, or whose entry went, ends whatever runs there. The entry of the next
 	// process under its id tells of no leave.
 	const auto entry = replicas_.find(end.replica->id);
 	const bool was_expected = !entry || !replicas_.takes_work(*entry);
-	log_replica_end(end, was_expected);
+	log_replica_exit(end, was_expected);
 	was_expected ? suspects_.retract(end.life) : suspects_.confirm(end.life, together, now);
 	cold_replicas_.note_unknown(*end.replica, routing::cold_reason::unreachable, now);
 	// Nobody else has to find out by a connection that is refused.
@@ -402,10 +402,10 @@
 	}
 }
 
-bool gateway::runs_other_suspect(
+bool gateway::runs_another_suspect(
 	const routing::replica& at, const quarantine::request_key& than, instant now) const
 {
-	const auto running = ends_.runs().running_at(at, now);
+	const auto running = exit_detector_.runs().running_at(at, now);
 	return std::any_of(running.begin(), running.end(),
 		[&](const auto& key) { return key != than && suspects_.is_nearly_held(key, now); });
 }
@@ -414,7 +414,7 @@
 void gateway::on_evacuation(const failure_domain_id& domain, bool is_evacuated)
 {
 	log::write(log::level::info, "evacuation",
-		{{"failure_domain", domain.str()}, {"in_force", is_evacuated}, {"evacuated", evacuated_.size()}});
+		{{"failure_domain", domain.str()}, {"in_force", is_evacuated}, {"evacuated", evacuated_domains_.size()}});
 	if (is_evacuated)
 	{
 		return;
@@ -451,7 +451,7 @@
 	// The first reading of the registry is told as a whole.
 	if (replicas_.known())
 	{
-		log_replica(one, change);
+		log_replica_change(one, change);
 	}
 	if (change == routing::replica_change::gone)
 	{
@@ -463,12 +463,12 @@
 	}
 	if (change == routing::replica_change::gone || change == routing::replica_change::restarted)
 	{
-		announced_.forget(one.id);
-		resting_.forget(one.id);
-		unreadable_replicas_.erase(one.id);
+		load_limits_.forget(one.id);
+		backoffs_.forget(one.id);
+		logged_unreadable_replicas_.erase(one.id);
 		pool_.drop(one.id);
 		selector_.forget(one.id);
-		ends_.runs().release(one.id, steady_now());
+		exit_detector_.runs().release(one.id, steady_now());
 	}
 	if (change == routing::replica_change::leaving)
 	{
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -12,14 +12,14 @@
 constexpr int backlog = 1024;
 
 /// Ended connections are forgotten each time the list has grown to this size or twice what was left.
-constexpr std::size_t first_sweep = 64;
+constexpr std::size_t min_removal_threshold = 64;
 
 /// Pause after a failed accept, mostly for want of descriptors.
-constexpr duration accept_pause = std::chrono::milliseconds{50};
+constexpr duration accept_retry_delay = std::chrono::milliseconds{50};
 } // namespace
 
 listener::listener(asio::io_context& context, std::shared_ptr<const caller_link_host> host)
-	: host_(std::move(host)), acceptor_(context), pause_(context), sweep_at_(first_sweep)
+	: host_(std::move(host)), acceptor_(context), accept_retry_timer_(context), removal_threshold_(min_removal_threshold)
 {
 }
 
@@ -51,8 +51,8 @@
 			if (error)
 			{
 				log::write(log::level::warn, "accept failed", {{"error", error.message()}});
-				pause_.expires_after(accept_pause);
-				pause_.async_wait(
+				accept_retry_timer_.expires_after(accept_retry_delay);
+				accept_retry_timer_.async_wait(
 					[this](const error_code& stopped)
 					{
 						if (!stopped)
@@ -62,31 +62,31 @@
 					});
 				return;
 			}
-			const auto link = std::make_shared<caller_link>(std::move(socket), host_);
-			links_.push_back(link);
-			link->start();
-			sweep();
+			const auto connection = std::make_shared<caller_connection>(std::move(socket), host_);
+			connections_.push_back(connection);
+			connection->start();
+			remove_closed();
 			accept();
 		});
 }
 
-void listener::sweep()
+void listener::remove_closed()
 {
-	if (links_.size() < sweep_at_)
+	if (connections_.size() < removal_threshold_)
 	{
 		return;
 	}
-	std::erase_if(links_, [](const auto& one) { return one.expired(); });
-	sweep_at_ = std::max(first_sweep, links_.size() * 2);
+	std::erase_if(connections_, [](const auto& weak_connection) { return weak_connection.expired(); });
+	removal_threshold_ = std::max(min_removal_threshold, connections_.size() * 2);
 }
 
 void listener::close_idle()
 {
-	for (const auto& one : links_)
+	for (const auto& weak_connection : connections_)
 	{
-		if (const auto link = one.lock())
+		if (const auto connection = weak_connection.lock())
 		{
-			link->close_if_idle();
+			connection->close_if_idle();
 		}
 	}
 }
@@ -95,16 +95,16 @@
 {
 	error_code ignored;
 	acceptor_.close(ignored);
-	pause_.cancel();
+	accept_retry_timer_.cancel();
 }
 
 std::size_t listener::busy() const
 {
-	return static_cast<std::size_t>(std::count_if(links_.begin(), links_.end(),
-		[](const auto& one)
+	return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
+		[](const auto& weak_connection)
 		{
-			const auto link = one.lock();
-			return link && link->busy();
+			const auto connection = weak_connection.lock();
+			return connection && connection->busy();
 		}));
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/message.cpp
+++ b/src/proxy/message.cpp
@@ -15,11 +15,11 @@
 constexpr std::string_view line_end = "\r\n";
 
 /// Fields that concern one connection only, and those that frame the body.
-constexpr std::array<std::string_view, 10> single_hop{"Connection", "Keep-Alive", "Proxy-Connection",
+constexpr std::array<std::string_view, 10> hop_by_hop_fields{"Connection", "Keep-Alive", "Proxy-Connection",
 	"Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length"};
 
-char lower(char c) noexcept
+char to_lower(char c) noexcept
 {
 	return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
 }
@@ -34,10 +34,10 @@
 	return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
-bool is_single_hop(std::string_view name) noexcept
+bool is_hop_by_hop(std::string_view name) noexcept
 {
 	return std::any_of(
-		single_hop.begin(), single_hop.end(), [name](std::string_view one) { return same_name(one, name); });
+		hop_by_hop_fields.begin(), hop_by_hop_fields.end(), [name](std::string_view one) { return equals_ignore_case(one, name); });
 }
 
 void append_fields(std::string& out, const header_fields& fields)
@@ -54,12 +54,12 @@
 /// What is wrong with one line of a header block, its end left off; the request line is the first.
 std::optional<std::string> find_line_fault(std::string_view line, bool is_first)
 {
-	const auto is_stray = [](char c)
+	const auto is_control_byte = [](char c)
 	{
 		const auto byte = static_cast<unsigned char>(c);
 		return (byte < ' ' && c != '\t') || byte == 0x7f;
 	};
-	if (std::any_of(line.begin(), line.end(), is_stray))
+	if (std::any_of(line.begin(), line.end(), is_control_byte))
 	{
 		return "control byte in the header";
 	}
@@ -84,34 +84,34 @@
 }
 
 /// Counts of the fields that decide where a message ends and whom it is for.
-struct framing_count
+struct framing_fields
 {
 	unsigned lengths{};
 	unsigned encodings{};
 	unsigned hosts{};
-	bool plain_chunked{true};
+	bool is_plain_chunked{true};
 };
 
-void count_framing(std::string_view line, framing_count& into)
+void count_framing_fields(std::string_view line, framing_fields& into)
 {
 	const auto colon = line.find(':');
 	const auto name = line.substr(0, colon);
-	if (same_name(name, "Content-Length"))
+	if (equals_ignore_case(name, "Content-Length"))
 	{
 		++into.lengths;
 	}
-	if (same_name(name, "Host"))
+	if (equals_ignore_case(name, "Host"))
 	{
 		++into.hosts;
 	}
-	if (same_name(name, "Transfer-Encoding"))
+	if (equals_ignore_case(name, "Transfer-Encoding"))
 	{
 		++into.encodings;
-		into.plain_chunked = same_name(trim(line.substr(colon + 1)), "chunked");
+		into.is_plain_chunked = equals_ignore_case(trim(line.substr(colon + 1)), "chunked");
 	}
 }
 
-std::optional<std::string> find_framing_fault(const framing_count& count)
+std::optional<std::string> find_framing_fault(const framing_fields& count)
 {
 	if (count.lengths > 1)
 	{
@@ -121,7 +121,7 @@
 	{
 		return "length and transfer encoding";
 	}
-	if (!count.plain_chunked)
+	if (!count.is_plain_chunked)
 	{
 		return "transfer encoding other than chunked";
 	}
@@ -133,16 +133,16 @@
 }
 } // namespace
 
-bool same_name(std::string_view a, std::string_view b) noexcept
+bool equals_ignore_case(std::string_view a, std::string_view b) noexcept
 {
 	return std::equal(
-		a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) { return lower(x) == lower(y); });
+		a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
 const std::string* find_field(const header_fields& fields, std::string_view name) noexcept
 {
 	const auto found = std::find_if(
-		fields.begin(), fields.end(), [name](const header_field& one) { return same_name(one.name, name); });
+		fields.begin(), fields.end(), [name](const header_field& one) { return equals_ignore_case(one.name, name); });
 	return found == fields.end() ? nullptr : &found->value;
 }
 
@@ -151,7 +151,7 @@
 	while (!list.empty())
 	{
 		const auto comma = list.find(',');
-		if (same_name(trim(list.substr(0, comma)), token))
+		if (equals_ignore_case(trim(list.substr(0, comma)), token))
 		{
 			return true;
 		}
@@ -160,12 +160,12 @@
 	return false;
 }
 
-header_fields end_to_end(const header_fields& fields)
+header_fields without_hop_by_hop_fields(const header_fields& fields)
 {
 	std::string named;
 	for (const auto& [name, value] : fields)
 	{
-		if (same_name(name, "Connection"))
+		if (equals_ignore_case(name, "Connection"))
 		{
 			named += value + ",";
 		}
@@ -173,7 +173,7 @@
 	header_fields kept;
 	for (const auto& one : fields)
 	{
-		if (!is_single_hop(one.name) && !has_token(named, one.name))
+		if (!is_hop_by_hop(one.name) && !has_token(named, one.name))
 		{
 			kept.push_back(one);
 		}
@@ -187,9 +187,9 @@
 	return whole.substr(0, whole.find('?'));
 }
 
-std::optional<std::string> find_ambiguity(std::string_view block)
+std::optional<std::string> find_header_fault(std::string_view block)
 {
-	framing_count count;
+	framing_fields count;
 	bool is_first = true;
 	while (!block.empty())
 	{
@@ -210,14 +210,14 @@
 		}
 		if (!is_first)
 		{
-			count_framing(line, count);
+			count_framing_fields(line, count);
 		}
 		is_first = false;
 	}
 	return find_framing_fault(count);
 }
 
-std::string write_request(const request& what, const header_fields& fields)
+std::string serialize_request(const request& what, const header_fields& fields)
 {
 	std::string out;
 	out.reserve(512 + what.body.size());
@@ -257,7 +257,7 @@
 	return out;
 }
 
-std::string_view reason_of(int status) noexcept
+std::string_view reason_phrase(int status) noexcept
 {
 	const auto text = boost::beast::http::obsolete_reason(static_cast<boost::beast::http::status>(status));
 	return {text.data(), text.size()};
--- a/src/proxy/prompt.cpp
+++ b/src/proxy/prompt.cpp
@@ -38,10 +38,10 @@
 	{
 		const std::string_view text = *token_counts;
 		const auto comma = text.find(',');
-		read.tokens_in = read_number(text.substr(0, comma));
+		read.input_tokens = read_number(text.substr(0, comma));
 		if (comma != std::string_view::npos)
 		{
-			read.tokens_out = read_number(text.substr(comma + 1));
+			read.max_output_tokens = read_number(text.substr(comma + 1));
 		}
 	}
 	if (parts != nullptr)
@@ -50,8 +50,8 @@
 		if (last != std::string::npos)
 		{
 			const auto shared = std::string_view{*parts}.substr(0, last);
-			read.shared_parts = stable_hash(shared);
-			read.shared_tokens = tokens_of(shared);
+			read.prefix_hash = stable_hash(shared);
+			read.prefix_tokens = tokens_of(shared);
 		}
 	}
 	return read;
--- a/src/proxy/replica_statements.cpp
+++ b/src/proxy/replica_statements.cpp
@@ -16,7 +16,7 @@
 constexpr int unavailable = 503;
 
 /// A decimal number from 0 on; none: it is something else.
-std::optional<double> read_amount(const std::string& text)
+std::optional<double> parse_non_negative(const std::string& text)
 {
 	double value = 0;
 	const auto* end = text.data() + text.size();
@@ -26,9 +26,9 @@
 }
 
 /// A time to come back: seconds with decimals, or a date. Dates that have passed are no time at all.
-std::optional<duration> read_wait(const std::string& text, std::chrono::system_clock::time_point time_of_day)
+std::optional<duration> parse_retry_after(const std::string& text, std::chrono::system_clock::time_point time_of_day)
 {
-	if (const auto seconds = read_amount(text))
+	if (const auto seconds = parse_non_negative(text))
 	{
 		constexpr double longest_s = 1e9;
 		const std::chrono::duration<double> span{std::min(*seconds, longest_s)};
@@ -50,9 +50,9 @@
 {
 	const auto begins_name = [&](const std::string& prefix) {
 		return name.size() > prefix.size() &&
-			   same_name(std::string_view{name}.substr(0, prefix.size()), prefix);
+			   equals_ignore_case(std::string_view{name}.substr(0, prefix.size()), prefix);
 	};
-	const auto is_same = [&](const std::string& known) { return same_name(name, known); };
+	const auto is_same = [&](const std::string& known) { return equals_ignore_case(name, known); };
 	const auto& prefixes = names.statement_prefixes;
 	const auto& known = names.known_statements;
 	return std::any_of(prefixes.begin(), prefixes.end(), begins_name) &&
@@ -62,9 +62,9 @@
 void read_field(replica_statements& into, const header_field& field, bool is_refusal,
 	const header_names& names, std::chrono::system_clock::time_point time_of_day)
 {
-	if (same_name(field.name, names.load_limit))
+	if (equals_ignore_case(field.name, names.load_limit))
 	{
-		const auto limit = read_amount(field.value);
+		const auto limit = parse_non_negative(field.value);
 		if (!limit)
 		{
 			into.unreadable = field.value;
@@ -72,19 +72,19 @@
 		}
 		into.load_limit = std::min(into.load_limit.value_or(*limit), *limit);
 	}
-	else if (same_name(field.name, names.leaving))
+	else if (equals_ignore_case(field.name, names.leaving))
 	{
-		into.leaves = into.leaves || field.value == "1";
+		into.is_draining = into.is_draining || field.value == "1";
 	}
-	else if (is_refusal && same_name(field.name, "Retry-After"))
+	else if (is_refusal && equals_ignore_case(field.name, "Retry-After"))
 	{
-		const auto wait = read_wait(field.value, time_of_day);
+		const auto wait = parse_retry_after(field.value, time_of_day);
 		if (!wait)
 		{
 			into.unreadable = field.value;
 			return;
 		}
-		into.rest = std::max(into.rest.value_or(*wait), *wait);
+		into.backoff = std::max(into.backoff.value_or(*wait), *wait);
 	}
 	else if (is_unknown(field.name, names))
 	{
@@ -102,7 +102,7 @@
 	{
 		read_field(read, one, is_refusal, names, time_of_day);
 	}
-	read.has_unclear_limit = !read.load_limit && find_field(head.fields, names.load_limit) != nullptr;
+	read.has_unreadable_limit = !read.load_limit && find_field(head.fields, names.load_limit) != nullptr;
 	return read;
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/request_log.cpp
+++ b/src/proxy/request_log.cpp
@@ -32,29 +32,29 @@
 {
 }
 
-void request_log::note(const request_line& line, instant now)
+void request_log::note(const request_record& record, instant now)
 {
-	metrics_.note(line);
-	if (line.outcome == request_outcome::served && ++served_ % tuning_.served_sample != 0)
+	metrics_.note(record);
+	if (record.outcome == request_outcome::served && ++served_ % tuning_.served_sample != 0)
 	{
 		return;
 	}
 	if (!lines_.take(1, now))
 	{
-		++left_out_;
+		++dropped_lines_;
 		return;
 	}
-	const auto choice = line.choice.value_or(size_choice{});
+	const auto choice = record.escalation.value_or(escalation_choice{});
 	log::write(log::level::info, "request",
-		{{"request", line.id}, {"content", line.content}, {"route", line.route},
-			{"workspace", line.workspace}, {"replica", line.replica}, {"version", line.version},
-			{"model", line.model}, {"outcome", name_of(line.outcome)}, {"status", line.status},
-			{"reason", line.reason}, {"attempts", line.attempts}, {"took_ms", to_milliseconds(line.took)},
-			{"first_byte_ms", to_milliseconds(line.first_byte)}, {"confidence", choice.confidence},
+		{{"request", record.id}, {"content", record.content_key}, {"route", record.route},
+			{"workspace", record.workspace}, {"replica", record.replica}, {"version", record.version},
+			{"model", record.model}, {"outcome", name_of(record.outcome)}, {"status", record.status},
+			{"reason", record.reason}, {"attempts", record.attempts}, {"took_ms", to_milliseconds(record.elapsed)},
+			{"first_byte_ms", to_milliseconds(record.first_byte)}, {"confidence", choice.confidence},
 			{"escalate_below", choice.threshold}, {"larger_expected_ms", to_milliseconds(choice.expected)},
-			{"config", line.config}, {"config_age_ms", to_milliseconds(line.config_age)},
-			{"replicas_age_ms", to_milliseconds(line.replicas_age)},
-			{"replica_suspected", line.replica_is_suspected}, {"lines_left_out", left_out_}});
+			{"config", record.config_version}, {"config_age_ms", to_milliseconds(record.config_age)},
+			{"replicas_age_ms", to_milliseconds(record.replicas_age)},
+			{"replica_suspected", record.replica_is_suspected}, {"lines_left_out", dropped_lines_}});
 }
 
 std::string request_log::text() const
@@ -63,7 +63,7 @@
 	metrics_.write(out);
 	metrics::write_head(
 		out, "gingerdyke_log_lines_left_out_total", "counter", "Request lines left out because of the rate.");
-	out << "gingerdyke_log_lines_left_out_total " << left_out_ << "\n";
+	out << "gingerdyke_log_lines_left_out_total " << dropped_lines_ << "\n";
 	return out.str();
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/request_metrics.cpp
+++ b/src/proxy/request_metrics.cpp
@@ -35,23 +35,23 @@
 }
 } // namespace
 
-void request_metrics::note(const request_line& line)
+void request_metrics::note(const request_record& record)
 {
-	++outcomes_[name_of(line.outcome)];
-	if (line.outcome != request_outcome::served)
+	++outcomes_[name_of(record.outcome)];
+	if (record.outcome != request_outcome::served)
 	{
-		++reasons_[line.reason];
+		++reasons_[record.reason];
 	}
 	const bool was_answered =
-		line.outcome == request_outcome::served || line.outcome == request_outcome::failed_by_replica;
+		record.outcome == request_outcome::served || record.outcome == request_outcome::failed_by_replica;
 	if (!was_answered)
 	{
 		return;
 	}
-	for (auto* of : {&by_workspace_[line.workspace], &by_route_[line.route]})
+	for (auto* of : {&by_workspace_[record.workspace], &by_route_[record.route]})
 	{
-		of->total.add(static_cast<double>(line.took.count()));
-		of->first_byte.add(static_cast<double>(line.first_byte.count()));
+		of->total.add(static_cast<double>(record.elapsed.count()));
+		of->first_byte.add(static_cast<double>(record.first_byte.count()));
 	}
 }
 
--- a/src/proxy/unknown_statements.cpp
+++ b/src/proxy/unknown_statements.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 /// A faulty replica may make up names: no more than these are kept and told.
-constexpr std::size_t most_names = 64;
-constexpr std::size_t longest_name = 80;
+constexpr std::size_t max_names = 64;
+constexpr std::size_t max_name_length = 80;
 } // namespace
 
 const char* name_of(statement_source source) noexcept
@@ -25,13 +25,13 @@
 	return "unknown";
 }
 
-void unknown_statements::note(statement_source source, std::string_view name, const std::string& who)
+void unknown_statements::note(statement_source source, std::string_view name, const std::string& sender)
 {
 	++count_;
-	const std::string kept{name.substr(0, longest_name)};
-	if (names_.size() < most_names && names_.insert(std::string{name_of(source)} + " " + kept).second)
+	const std::string kept{name.substr(0, max_name_length)};
+	if (names_.size() < max_names && names_.insert(std::string{name_of(source)} + " " + kept).second)
 	{
-		news_(source, kept, who);
+		new_name_hook_(source, kept, sender);
 	}
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/upstream_link.cpp
+++ b/src/proxy/upstream_link.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t read_size = 2048;
 
 /// Largest head of an answer, in bytes; the users' replicas send a few hundred.
-constexpr std::uint32_t largest_head = 65536;
+constexpr std::uint32_t max_head_bytes = 65536;
 
 constexpr int first_success = 200;
 
@@ -42,31 +42,31 @@
 	{
 	case upstream_fault::not_connected:
 		return "not connected";
-	case upstream_fault::refused_connection:
+	case upstream_fault::connect_refused:
 		return "connection refused";
-	case upstream_fault::no_answer:
+	case upstream_fault::no_response:
 		return "no answer";
-	case upstream_fault::cut_answer:
+	case upstream_fault::truncated_response:
 		return "cut answer";
-	case upstream_fault::bad_answer:
+	case upstream_fault::invalid_response:
 		return "bad answer";
 	}
 	return "unknown";
 }
 
-upstream_link::upstream_link(asio::io_context& context, routing::replica_ptr to, std::string id_field)
+upstream_connection::upstream_connection(asio::io_context& context, routing::replica_ptr to, std::string id_field)
 	: context_(context), to_(std::move(to)), id_field_(std::move(id_field)), socket_(context)
 {
 }
 
-void upstream_link::send(upstream_request what, upstream_hooks hooks)
+void upstream_connection::send(upstream_request what, upstream_callbacks callbacks)
 {
 	request_ = std::move(what);
-	hooks_ = std::make_shared<const upstream_hooks>(std::move(hooks));
+	callbacks_ = std::make_shared<const upstream_callbacks>(std::move(callbacks));
 	busy_ = true;
-	written_ = false;
-	head_given_ = false;
-	skipping_ = false;
+	request_written_ = false;
+	head_delivered_ = false;
+	skipping_stale_response_ = false;
 	reusable_ = false;
 	start_parser();
 	if (connected_)
@@ -79,18 +79,18 @@
 	}
 }
 
-void upstream_link::close()
+void upstream_connection::close()
 {
 	closed_ = true;
 	busy_ = false;
 	reusable_ = false;
-	hooks_.reset();
-	idle_ended_ = {};
+	callbacks_.reset();
+	idle_close_hook_ = {};
 	error_code ignored;
 	socket_.close(ignored);
 }
 
-void upstream_link::connect()
+void upstream_connection::connect()
 {
 	error_code error;
 	const auto ip = asio::ip::make_address_v4(to_->at.ip, error);
@@ -109,13 +109,13 @@
 			if (failed)
 			{
 				const bool is_refused = failed == asio::error::connection_refused;
-				self->fail(is_refused ? upstream_fault::refused_connection : upstream_fault::not_connected);
+				self->fail(is_refused ? upstream_fault::connect_refused : upstream_fault::not_connected);
 				return;
 			}
 			self->connected_ = true;
 			set_connection_options(self->socket_);
-			const auto hooks = self->hooks_;
-			hooks->connected();
+			const auto callbacks = self->callbacks_;
+			callbacks->connection_opened();
 			if (!self->closed_)
 			{
 				self->read();
@@ -124,27 +124,27 @@
 		});
 }
 
-void upstream_link::write()
+void upstream_connection::write()
 {
-	set_unacknowledged_limit(socket_, request_.unacknowledged_limit);
+	set_unacknowledged_timeout(socket_, request_.unacknowledged_timeout);
 	// The bytes outlive the call even where the link is given up meanwhile.
 	const auto bytes = std::make_shared<std::string>(std::move(request_.bytes));
 	asio::async_write(socket_, asio::buffer(*bytes),
 		[self = shared_from_this(), bytes](const error_code& error, std::size_t)
 		{
 			// A failed write is told by the read: an answer may have come before the connection broke.
-			self->written_ = !error;
+			self->request_written_ = !error;
 		});
 }
 
-void upstream_link::read()
+void upstream_connection::read()
 {
 	socket_.async_read_some(buffer_.prepare(read_size),
 		[self = shared_from_this()](const error_code& error, std::size_t size)
 		{ self->on_read(error, size); });
 }
 
-void upstream_link::on_read(const error_code& error, std::size_t size)
+void upstream_connection::on_read(const error_code& error, std::size_t size)
 {
 	if (closed_)
 	{
@@ -154,11 +154,11 @@
 	if (!busy_)
 	{
 		// Nothing is due on an idle connection: neither its end nor bytes leave it fit for use.
-		const auto ended = std::move(idle_ended_);
+		const auto on_idle_closed = std::move(idle_close_hook_);
 		close();
-		if (ended)
+		if (on_idle_closed)
 		{
-			ended();
+			on_idle_closed();
 		}
 		return;
 	}
@@ -174,36 +174,36 @@
 	}
 }
 
-void upstream_link::on_bytes()
+void upstream_connection::on_bytes()
 {
-	while (busy_ && !closed_ && buffer_.size() > 0 && parse_some())
+	while (busy_ && !closed_ && buffer_.size() > 0 && parse_next())
 	{
 	}
 }
 
-bool upstream_link::parse_some()
+bool upstream_connection::parse_next()
 {
 	error_code error;
 	const auto used = parser_->put(buffer_.data(), error);
 	buffer_.consume(used);
 	if (error && error != beast::http::error::need_more)
 	{
-		fail(upstream_fault::bad_answer);
+		fail(upstream_fault::invalid_response);
 		return false;
 	}
-	if (parser_->is_header_done() && !head_given_ && !on_head())
+	if (parser_->is_header_done() && !head_delivered_ && !on_head())
 	{
 		return !closed_ && busy_;
 	}
-	if (head_given_ && !skipping_)
+	if (head_delivered_ && !skipping_stale_response_)
 	{
 		auto& body = parser_->get().body();
 		if (!body.empty())
 		{
 			const auto bytes = std::exchange(body, {});
 			const auto self = shared_from_this();
-			const auto hooks = hooks_;
-			hooks->brought(bytes);
+			const auto callbacks = callbacks_;
+			callbacks->body_received(bytes);
 			if (closed_)
 			{
 				return false;
@@ -218,18 +218,18 @@
 	return used > 0;
 }
 
-void upstream_link::start_parser()
+void upstream_connection::start_parser()
 {
 	parser_.emplace();
 	// `none` would refuse every answer that states a length in this version of Beast.
 	parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
-	parser_->header_limit(largest_head);
+	parser_->header_limit(max_head_bytes);
 	parser_->eager(true);
 	parser_->skip(request_.is_head);
 }
 
 /// \returns False where the head is not handed on: what follows is read again from the start.
-bool upstream_link::on_head()
+bool upstream_connection::on_head()
 {
 	auto head = head_of(*parser_);
 	if (head.status < first_success)
@@ -237,25 +237,25 @@
 		start_parser();
 		return false;
 	}
-	head_given_ = true;
+	head_delivered_ = true;
 	const auto* id = head.find(id_field_);
 	if (id != nullptr && *id != request_.id)
 	{
-		skipping_ = true;
+		skipping_stale_response_ = true;
 		return true;
 	}
-	note_keep_alive(head.fields);
+	read_keep_alive(head.fields);
 	const auto* connection = head.find("Connection");
 	reusable_ = !head.ends_with_connection && !(connection != nullptr && has_token(*connection, "close"));
 	const auto self = shared_from_this();
-	const auto hooks = hooks_;
-	hooks->began(std::move(head));
+	const auto callbacks = callbacks_;
+	callbacks->head_received(std::move(head));
 	return !closed_;
 }
 
-void upstream_link::on_end_of_connection(const error_code& error)
+void upstream_connection::on_end_of_connection(const error_code& error)
 {
-	if (head_given_ && !skipping_ && parser_->need_eof() && error == asio::error::eof)
+	if (head_delivered_ && !skipping_stale_response_ && parser_->need_eof() && error == asio::error::eof)
 	{
 		error_code ignored;
 		parser_->put_eof(ignored);
@@ -268,44 +268,44 @@
 		fail(upstream_fault::not_connected);
 		return;
 	}
-	fail(head_given_ && !skipping_ ? upstream_fault::cut_answer : upstream_fault::no_answer);
+	fail(head_delivered_ && !skipping_stale_response_ ? upstream_fault::truncated_response : upstream_fault::no_response);
 }
 
-void upstream_link::finish()
+void upstream_connection::finish()
 {
-	if (skipping_)
+	if (skipping_stale_response_)
 	{
 		// The answer to an earlier request came late; ours is still due.
-		skipping_ = false;
-		head_given_ = false;
+		skipping_stale_response_ = false;
+		head_delivered_ = false;
 		start_parser();
 		return;
 	}
-	++answers_;
+	++responses_;
 	// An answer that came before the request was sent, or more bytes than the answer has, end the connection.
-	reusable_ = reusable_ && written_ && buffer_.size() == 0;
+	reusable_ = reusable_ && request_written_ && buffer_.size() == 0;
 	busy_ = false;
-	const auto hooks = std::exchange(hooks_, nullptr);
+	const auto callbacks = std::exchange(callbacks_, nullptr);
 	const auto self = shared_from_this();
-	hooks->ended();
+	callbacks->on_idle_closed();
 }
 
-void upstream_link::fail(upstream_fault fault)
+void upstream_connection::fail(upstream_fault fault)
 {
 	if (closed_)
 	{
 		return;
 	}
-	const auto hooks = hooks_;
+	const auto callbacks = callbacks_;
 	const auto self = shared_from_this();
 	close();
-	if (hooks)
+	if (callbacks)
 	{
-		hooks->failed(fault);
+		callbacks->request_failed(fault);
 	}
 }
 
-void upstream_link::note_keep_alive(const header_fields& fields)
+void upstream_connection::read_keep_alive(const header_fields& fields)
 {
 	const auto* text = find_field(fields, "Keep-Alive");
 	if (text == nullptr)
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-std::shared_ptr<upstream_link> upstream_pool::take(
+std::shared_ptr<upstream_connection> upstream_pool::take(
 	const routing::replica_ptr& to, bool may_run_again, instant now)
 {
 	auto& known = entry_of(*to);
@@ -20,13 +20,13 @@
 	{
 		const auto last = std::move(known.idle.back());
 		known.idle.pop_back();
-		if (fits(last, may_run_again, now))
+		if (is_usable(last, may_run_again, now))
 		{
-			return last.link;
+			return last.connection;
 		}
-		last.link->close();
+		last.connection->close();
 	}
-	return std::make_shared<upstream_link>(context_, to, id_field_);
+	return std::make_shared<upstream_connection>(context_, to, id_field_);
 }
 
 /// The connections to a replica's process; those to the one before under its id are of no use.
@@ -45,27 +45,27 @@
 {
 	for (const auto& one : std::exchange(of.idle, {}))
 	{
-		one.link->close();
+		one.connection->close();
 	}
 }
 
-void upstream_pool::give_back(const std::shared_ptr<upstream_link>& link, instant now)
+void upstream_pool::give_back(const std::shared_ptr<upstream_connection>& connection, instant now)
 {
-	const auto id = link->to()->id;
+	const auto id = connection->target()->id;
 	const auto found = entries_.find(id);
-	if (found == entries_.end() || found->second.incarnation != link->to()->incarnation)
+	if (found == entries_.end() || found->second.incarnation != connection->target()->incarnation)
 	{
-		link->close();
+		connection->close();
 		return;
 	}
 	--found->second.in_use;
-	if (!link->reusable())
+	if (!connection->reusable())
 	{
-		link->close();
+		connection->close();
 		return;
 	}
-	link->on_idle_end([this, id, raw = link.get()] { remove_idle(id, raw); });
-	found->second.idle.push_back({link, now});
+	connection->on_idle_close([this, id, raw = connection.get()] { remove_idle(id, raw); });
+	found->second.idle.push_back({connection, now});
 }
 
 unsigned upstream_pool::open(const replica_id& id) const
@@ -95,24 +95,24 @@
 	}
 }
 
-bool upstream_pool::fits(const idle_link& one, bool may_run_again, instant now) const
+bool upstream_pool::is_usable(const idle_connection& one, bool may_run_again, instant now) const
 {
 	const auto idle = now - one.since;
-	if (!may_run_again && idle > tuning_.trusted_idle)
+	if (!may_run_again && idle > tuning_.max_trusted_idle)
 	{
 		return false;
 	}
-	const auto kept = one.link->keep_alive_time();
+	const auto kept = one.connection->keep_alive_time();
 	return !kept ||
-		   static_cast<double>(idle.count()) < static_cast<double>(kept->count()) * tuning_.kept_share;
+		   static_cast<double>(idle.count()) < static_cast<double>(kept->count()) * tuning_.keep_alive_factor;
 }
 
-void upstream_pool::remove_idle(const replica_id& id, const upstream_link* link)
+void upstream_pool::remove_idle(const replica_id& id, const upstream_connection* connection)
 {
 	const auto found = entries_.find(id);
 	if (found != entries_.end())
 	{
-		std::erase_if(found->second.idle, [link](const idle_link& one) { return one.link.get() == link; });
+		std::erase_if(found->second.idle, [connection](const idle_connection& one) { return one.connection.get() == connection; });
 	}
 }
 } // namespace gingerdyke::proxy
--- a/tests/proxy/event_stream.cpp
+++ b/tests/proxy/event_stream.cpp
@@ -22,7 +22,7 @@
 	}
 	CHECK(passed == bytes);
 	CHECK(stream.last_id() == 3);
-	CHECK(stream.between_events());
+	CHECK(stream.at_event_boundary());
 }
 
 TEST_CASE("ids that skip, repeat or go back break a stream", "[events]")
@@ -37,9 +37,9 @@
 {
 	event_stream stream;
 	CHECK(stream.feed("id: 7\nda").events.empty());
-	CHECK_FALSE(stream.between_events());
+	CHECK_FALSE(stream.at_event_boundary());
 	stream.drop_partial();
-	CHECK(stream.between_events());
+	CHECK(stream.at_event_boundary());
 }
 
 TEST_CASE("an event that grows too large breaks a stream", "[events]")
--- a/tests/proxy/replica_end_watch.cpp
+++ b/tests/proxy/replica_end_watch.cpp
@@ -27,7 +27,7 @@
 		}
 	}
 
-	void break_at(std::size_t index) { watch.note_broken(entries[index], proxy::steady_now()); }
+	void break_at(std::size_t index) { watch.note_broken_response(entries[index], proxy::steady_now()); }
 
 	proxy::asio::io_context context{1};
 	std::vector<std::unique_ptr<scripted_replica>> replicas;
@@ -35,9 +35,9 @@
 	unsigned presumed = 0;
 	std::vector<bool> settled;
 	std::size_t together = 0;
-	proxy::replica_end_watch watch{context,
-		{[this](const proxy::replica_end&) { ++presumed; },
-			[this](const proxy::replica_end& end, bool has_ended, const std::vector<process_life>& lives)
+	proxy::replica_exit_detector watch{context,
+		{[this](const proxy::replica_exit&) { ++presumed; },
+			[this](const proxy::replica_exit& end, bool has_ended, const std::vector<process_life>& lives)
 			{
 				CHECK(end.requests == std::vector{request_key{"q"}});
 				settled.push_back(has_ended);
@@ -66,11 +66,11 @@
 	run_until(of.context, [&] { return !of.settled.empty(); });
 	CHECK(of.settled == std::vector{true});
 	of.break_at(0);
-	of.watch.note_refused(of.entries[0], proxy::steady_now());
+	of.watch.note_refused_connection(of.entries[0], proxy::steady_now());
 	CHECK(of.presumed == 1);
 	of.watch.runs().note_connected(*of.entries[0], proxy::steady_now());
 	static_cast<void>(of.watch.runs().begin(*of.entries[0], request_key{"q"}, proxy::steady_now()));
-	of.watch.note_refused(of.entries[0], proxy::steady_now());
+	of.watch.note_refused_connection(of.entries[0], proxy::steady_now());
 	CHECK(of.settled == std::vector{true, true});
 }
 
@@ -79,10 +79,10 @@
 	watched of;
 	for (std::size_t i = 0; i < 2; ++i)
 	{
-		of.watch.note_refused(of.entries[i], proxy::steady_now());
+		of.watch.note_refused_connection(of.entries[i], proxy::steady_now());
 	}
 	CHECK(of.together == 0);
-	of.watch.note_refused(of.entries[2], proxy::steady_now());
+	of.watch.note_refused_connection(of.entries[2], proxy::steady_now());
 	CHECK(of.together == 3);
 }
 
@@ -95,7 +95,7 @@
 		of.break_at(i);
 	}
 	bool was_called = false;
-	of.watch.when_settled([&] { was_called = true; });
+	of.watch.when_resolved([&] { was_called = true; });
 	run_until(of.context, [&] { return !of.settled.empty(); });
 	CHECK(of.together == 3);
 	CHECK(was_called);
--- a/tests/proxy/replica_statements.cpp
+++ b/tests/proxy/replica_statements.cpp
@@ -28,33 +28,33 @@
 	const auto mixed = read(200, {{"Load-Limit", "many"}, {"Load-Limit", "3"}});
 	CHECK(mixed.load_limit == 3);
 	CHECK(mixed.unreadable == "many");
-	CHECK_FALSE(mixed.has_unclear_limit);
-	CHECK(read(200, {{"Load-Limit", "many"}}).has_unclear_limit);
+	CHECK_FALSE(mixed.has_unreadable_limit);
+	CHECK(read(200, {{"Load-Limit", "many"}}).has_unreadable_limit);
 	CHECK_FALSE(read(200, {}).load_limit);
-	CHECK_FALSE(read(503, {{"Retry-After", "soon"}}).has_unclear_limit);
+	CHECK_FALSE(read(503, {{"Retry-After", "soon"}}).has_unreadable_limit);
 }
 
 TEST_CASE("only 1 says that a replica leaves", "[statements]")
 {
-	CHECK(read(200, {{"Leaving", "1"}}).leaves);
-	CHECK(read(500, {{"leaving", "1"}}).leaves);
-	CHECK_FALSE(read(200, {{"Leaving", "0"}}).leaves);
-	CHECK_FALSE(read(200, {{"Leaving", "yes"}}).leaves);
+	CHECK(read(200, {{"Leaving", "1"}}).is_draining);
+	CHECK(read(500, {{"leaving", "1"}}).is_draining);
+	CHECK_FALSE(read(200, {{"Leaving", "0"}}).is_draining);
+	CHECK_FALSE(read(200, {{"Leaving", "yes"}}).is_draining);
 }
 
 TEST_CASE("a refusal's Retry-After is a time in seconds or a date", "[statements]")
 {
 	using std::chrono::milliseconds;
-	CHECK(read(503, {{"Retry-After", "3"}}).rest == milliseconds{3000});
-	CHECK(read(503, {{"retry-after", "0.25"}}).rest == milliseconds{250});
-	CHECK(read(503, {{"Retry-After", "1"}, {"Retry-After", "2"}}).rest == milliseconds{2000});
-	CHECK(read(503, {{"Retry-After", "Sun, 06 Nov 1994 08:49:40 GMT"}}).rest == milliseconds{3000});
-	CHECK(read(503, {{"Retry-After", "Sun, 06 Nov 1994 08:49:00 GMT"}}).rest == milliseconds{0});
+	CHECK(read(503, {{"Retry-After", "3"}}).backoff == milliseconds{3000});
+	CHECK(read(503, {{"retry-after", "0.25"}}).backoff == milliseconds{250});
+	CHECK(read(503, {{"Retry-After", "1"}, {"Retry-After", "2"}}).backoff == milliseconds{2000});
+	CHECK(read(503, {{"Retry-After", "Sun, 06 Nov 1994 08:49:40 GMT"}}).backoff == milliseconds{3000});
+	CHECK(read(503, {{"Retry-After", "Sun, 06 Nov 1994 08:49:00 GMT"}}).backoff == milliseconds{0});
 	CHECK(read(503, {{"Retry-After", "1e300"}}).unreadable == "1e300");
-	CHECK(read(503, {{"Retry-After", "99999999999999999999"}}).rest);
-	CHECK_FALSE(read(200, {{"Retry-After", "3"}}).rest);
+	CHECK(read(503, {{"Retry-After", "99999999999999999999"}}).backoff);
+	CHECK_FALSE(read(200, {{"Retry-After", "3"}}).backoff);
 	for (const auto* bad : {"-1", "nan", "soon", "", "inf"})
 	{
-		CHECK_FALSE(read(503, {{"Retry-After", bad}}).rest);
+		CHECK_FALSE(read(503, {{"Retry-After", bad}}).backoff);
 	}
 }
--- a/tests/proxy/request_metrics.cpp
+++ b/tests/proxy/request_metrics.cpp
@@ -10,16 +10,16 @@
 
 namespace
 {
-request_line make_line(request_outcome outcome, const char* reason = "")
+request_record make_record(request_outcome outcome, const char* reason = "")
 {
-	request_line line;
-	line.route = "r\"1";
-	line.workspace = "w1";
-	line.outcome = outcome;
-	line.reason = reason;
-	line.took = milliseconds{200};
-	line.first_byte = milliseconds{20};
-	return line;
+	request_record record;
+	record.route = "r\"1";
+	record.workspace = "w1";
+	record.outcome = outcome;
+	record.reason = reason;
+	record.elapsed = milliseconds{200};
+	record.first_byte = milliseconds{20};
+	return record;
 }
 
 std::string text_of(const request_metrics& metrics)
@@ -38,9 +38,9 @@
 TEST_CASE("requests are counted by outcome and reason, and timed by workspace and route", "[metrics]")
 {
 	request_metrics metrics;
-	metrics.note(make_line(request_outcome::served));
-	metrics.note(make_line(request_outcome::served));
-	metrics.note(make_line(request_outcome::refused, "no replica"));
+	metrics.note(make_record(request_outcome::served));
+	metrics.note(make_record(request_outcome::served));
+	metrics.note(make_record(request_outcome::refused, "no replica"));
 	const auto text = text_of(metrics);
 	CHECK(contains(text, "gingerdyke_requests_total{outcome=\"served\"} 2\n"));
 	CHECK(contains(text, "gingerdyke_request_failures_total{reason=\"no replica\"} 1\n"));
--- a/tests/proxy/stream_pace.cpp
+++ b/tests/proxy/stream_pace.cpp
@@ -21,7 +21,7 @@
 	CHECK_FALSE(pace.note_events(0, start + milliseconds{10}));
 	CHECK(pace.note_events(1, start + milliseconds{40}) == milliseconds{40});
 	CHECK_FALSE(pace.note_events(1, start + milliseconds{90}));
-	CHECK_FALSE(pace.note_given_up(start + milliseconds{900}));
+	CHECK_FALSE(pace.note_abandoned(start + milliseconds{900}));
 }
 
 TEST_CASE("events that come together tell no pace", "[stream-pace]")
@@ -39,8 +39,8 @@
 	"a stream that stops after its first event is at least as slow as it was waited for", "[stream-pace]")
 {
 	stream_pace pace;
-	CHECK_FALSE(pace.note_given_up(start));
+	CHECK_FALSE(pace.note_abandoned(start));
 	CHECK_FALSE(pace.note_events(1, start));
-	CHECK(pace.note_given_up(start + seconds{2}) == seconds{2});
-	CHECK_FALSE(pace.note_given_up(start + seconds{3}));
+	CHECK(pace.note_abandoned(start + seconds{2}) == seconds{2});
+	CHECK_FALSE(pace.note_abandoned(start + seconds{3}));
 }
