--- a/include/gingerdyke/proxy/caller_link.hpp
+++ b/include/gingerdyke/proxy/caller_link.hpp
@@ -2,7 +2,7 @@
 // One connection of a caller: reads requests, answers them in order, sees the caller leave.
 #pragma once
 
-#include <gingerdyke/proxy/answer_sink.hpp>
+#include <gingerdyke/proxy/response_sink.hpp>
 #include <gingerdyke/proxy/asio.hpp>
 #include <gingerdyke/routing/catalog.hpp>
 #include <optional>
@@ -23,7 +23,7 @@
 };
 
 /// \brief One connection of a caller.
-class caller_connection : public answer_sink, public std::enable_shared_from_this<caller_connection>
+class caller_connection : public response_sink, public std::enable_shared_from_this<caller_connection>
 {
   public:
 	caller_connection(tcp::socket socket, std::shared_ptr<const caller_link_host> host);
@@ -37,7 +37,7 @@
 	/// \brief True while a request is being read or answered.
 	[[nodiscard]] bool busy() const noexcept { return state_ != state::idle && state_ != state::closed; }
 
-	void send(whole_answer answer) override;
+	void send(response answer) override;
 	void begin(int status, std::string_view reason, const header_fields& fields) override;
 	void pass(std::string_view bytes) override;
 	void end() override;
--- a/include/gingerdyke/proxy/exchange.hpp
+++ b/include/gingerdyke/proxy/exchange.hpp
@@ -2,7 +2,7 @@
 // One request from its arrival to its final answer, over all its attempts.
 #pragma once
 
-#include <gingerdyke/proxy/answer_sink.hpp>
+#include <gingerdyke/proxy/response_sink.hpp>
 #include <gingerdyke/proxy/event_stream.hpp>
 #include <gingerdyke/proxy/gateway.hpp>
 #include <gingerdyke/proxy/prompt.hpp>
@@ -24,7 +24,7 @@
 {
 	routing::replica_ptr target;
 	std::shared_ptr<upstream_connection> connection;
-	answer_head head;
+	response_head head;
 	std::string body;
 	instant sent_at;
 
@@ -64,7 +64,7 @@
 class exchange : public active_request, public std::enable_shared_from_this<exchange>
 {
   public:
-	exchange(gateway& shared, request what, std::shared_ptr<answer_sink> to);
+	exchange(gateway& shared, request what, std::shared_ptr<response_sink> to);
 
 	/// \brief Admits the request and sends it on, or refuses it; waits a little where the VM is not ready
 	/// yet.
@@ -105,8 +105,8 @@
 	// What the replica does.
 	void on_connected();
 	[[nodiscard]] bool is_still_sendable() const;
-	void on_head(answer_head head);
-	void note_statements(const answer_head& head);
+	void on_head(response_head head);
+	void note_statements(const response_head& head);
 	void on_not_run();
 	void fail_refused();
 	void on_body(std::string_view bytes);
@@ -117,9 +117,9 @@
 	void on_not_connected(upstream_fault fault);
 	void undo_attempt();
 	[[nodiscard]] rollout::answer_sample sample_for(duration elapsed) const;
-	[[nodiscard]] bool is_invalid_response(const answer_head& head) const;
+	[[nodiscard]] bool is_invalid_response(const response_head& head) const;
 	void record_first_token();
-	[[nodiscard]] bool should_escalate(const answer_head& head);
+	[[nodiscard]] bool should_escalate(const response_head& head);
 	[[nodiscard]] bool escalate(double confidence);
 	[[nodiscard]] duration expected_first_token() const;
 	void forward_buffered_response();
@@ -142,7 +142,7 @@
 
 	gateway& shared_;
 	request request_;
-	std::shared_ptr<answer_sink> sink_;
+	std::shared_ptr<response_sink> sink_;
 	instant arrived_;
 	instant deadline_;
 	boot_timer deadline_timer_;
--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 #include <gingerdyke/limits/attempt_budget.hpp>
-#include <gingerdyke/proxy/answer_sink.hpp>
+#include <gingerdyke/proxy/response_sink.hpp>
 #include <gingerdyke/proxy/header_names.hpp>
 #include <gingerdyke/proxy/replica_end_watch.hpp>
 #include <gingerdyke/proxy/request_log.hpp>
@@ -173,7 +173,7 @@
 	[[nodiscard]] unavailability why_unavailable(const service_id& service, instant now) const;
 
 	/// \brief Answers a caller's request.
-	[[nodiscard]] std::shared_ptr<active_request> handle(request what, std::shared_ptr<answer_sink> to);
+	[[nodiscard]] std::shared_ptr<active_request> handle(request what, std::shared_ptr<response_sink> to);
 
 	/// \brief Whether a replica may be sent a new request: it is neither evacuated nor at rest, and this VM
 	/// has a share left of what it bears.
--- a/include/gingerdyke/proxy/message.hpp
+++ b/include/gingerdyke/proxy/message.hpp
@@ -56,7 +56,7 @@
 };
 
 /// \brief The head of a replica's answer.
-struct answer_head
+struct response_head
 {
 	int status{};
 	std::string reason;
--- a/include/gingerdyke/proxy/replica_statements.hpp
+++ b/include/gingerdyke/proxy/replica_statements.hpp
@@ -36,5 +36,5 @@
 /// \brief Reads what a replica says of itself. Of several limits the lowest counts, of several rests the
 /// longest. \param time_of_day For rests that are told as a date.
 [[nodiscard]] replica_statements read_statements(
-	const answer_head& head, const header_names& names, std::chrono::system_clock::time_point time_of_day);
+	const response_head& head, const header_names& names, std::chrono::system_clock::time_point time_of_day);
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/answer_sink.hpp
+++ b/include/gingerdyke/proxy/response_sink.hpp
@@ -11,7 +11,7 @@
 namespace gingerdyke::proxy
 {
 /// \brief A whole answer.
-struct whole_answer
+struct response
 {
 	int status{};
 	std::string reason;
@@ -20,13 +20,13 @@
 };
 
 /// \brief Takes one answer: either `send`, or `begin` with `pass` and then `end` or `break_off`.
-class answer_sink
+class response_sink
 {
   public:
-	virtual ~answer_sink() = default;
+	virtual ~response_sink() = default;
 
 	/// \brief Sends a whole answer.
-	virtual void send(whole_answer answer) = 0;
+	virtual void send(response answer) = 0;
 
 	/// \brief Begins an answer whose length is not known.
 	virtual void begin(int status, std::string_view reason, const header_fields& fields) = 0;
@@ -52,5 +52,5 @@
 };
 
 /// \brief Answers requests: at once, or later through the sink.
-using request_handler = std::function<std::shared_ptr<active_request>(request, std::shared_ptr<answer_sink>)>;
+using request_handler = std::function<std::shared_ptr<active_request>(request, std::shared_ptr<response_sink>)>;
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/upstream_link.hpp
+++ b/include/gingerdyke/proxy/upstream_link.hpp
@@ -35,7 +35,7 @@
 {
 	/// The connection is up and the request leaves next, unless the link is closed here.
 	std::function<void()> connection_opened;
-	std::function<void(answer_head)> head_received;
+	std::function<void(response_head)> head_received;
 	std::function<void(std::string_view bytes)> body_received;
 	std::function<void()> response_completed;
 	std::function<void(upstream_fault)> request_failed;
--- a/src/proxy/caller_link.cpp
+++ b/src/proxy/caller_link.cpp
@@ -64,7 +64,7 @@
 	}
 }
 
-void caller_connection::send(whole_answer answer)
+void caller_connection::send(response answer)
 {
 	if (state_ != state::answering)
 	{
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -28,7 +28,7 @@
 }
 } // namespace
 
-exchange::exchange(gateway& shared, request what, std::shared_ptr<answer_sink> to)
+exchange::exchange(gateway& shared, request what, std::shared_ptr<response_sink> to)
 	: shared_(shared), request_(std::move(what)), sink_(std::move(to)), arrived_(steady_now()),
 	  deadline_timer_(shared.context()), attempt_timer_(shared.context())
 {
@@ -277,7 +277,7 @@
 	const auto self = shared_from_this();
 	upstream_callbacks callbacks;
 	callbacks.connection_opened = [self] { self->on_connected(); };
-	callbacks.head_received = [self](answer_head head) { self->on_head(std::move(head)); };
+	callbacks.head_received = [self](response_head head) { self->on_head(std::move(head)); };
 	callbacks.body_received = [self](std::string_view bytes) { self->on_body(bytes); };
 	callbacks.response_completed = [self] { self->on_end(); };
 	callbacks.request_failed = [self](upstream_fault fault) { self->on_fault(fault); };
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -52,7 +52,7 @@
 		   !shared_.backoffs().is_resting(to, now) && has_cold_share && has_limit_share;
 }
 
-void exchange::on_head(answer_head head)
+void exchange::on_head(response_head head)
 {
 	const auto& names = shared_.names();
 	attempt_->first_byte = steady_now() - attempt_->sent_at;
@@ -103,7 +103,7 @@
 }
 
 /// What another process says that has the replica's address now is not the replica's word.
-void exchange::note_statements(const answer_head& head)
+void exchange::note_statements(const response_head& head)
 {
 	if (head.status == misdirected || is_invalid_response(head))
 	{
@@ -177,7 +177,7 @@
 	fail(bad_gateway, "replica refused");
 }
 
-bool exchange::is_invalid_response(const answer_head& head) const
+bool exchange::is_invalid_response(const response_head& head) const
 {
 	const auto& names = shared_.names();
 	if (head.find(names.request_id) == nullptr || head.find("Content-Encoding") != nullptr)
@@ -197,7 +197,7 @@
 	}
 }
 
-bool exchange::should_escalate(const answer_head& head)
+bool exchange::should_escalate(const response_head& head)
 {
 	const auto* text = head.find(shared_.names().confidence);
 	if (text == nullptr || response_started_ || !attempt_->size.may_escalate || !may_retry())
@@ -317,7 +317,7 @@
 {
 	const auto& head = attempt_->head;
 	const auto status = head.status;
-	whole_answer answer{status, head.reason, without_hop_by_hop_fields(head.fields), std::move(attempt_->body)};
+	response answer{status, head.reason, without_hop_by_hop_fields(head.fields), std::move(attempt_->body)};
 	first_byte_time_ = steady_now() - arrived_;
 	const bool failed = status >= first_server_error;
 	attempt_->run_outcome = failed ? quarantine::run_end::over : quarantine::run_end::survived;
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -265,7 +265,7 @@
 	backoffs_.note_sent(to, now);
 }
 
-std::shared_ptr<active_request> gateway::handle(request what, std::shared_ptr<answer_sink> to)
+std::shared_ptr<active_request> gateway::handle(request what, std::shared_ptr<response_sink> to)
 {
 	const auto made = std::make_shared<exchange>(*this, std::move(what), std::move(to));
 	made->start();
--- a/src/proxy/replica_statements.cpp
+++ b/src/proxy/replica_statements.cpp
@@ -94,7 +94,7 @@
 } // namespace
 
 replica_statements read_statements(
-	const answer_head& head, const header_names& names, std::chrono::system_clock::time_point time_of_day)
+	const response_head& head, const header_names& names, std::chrono::system_clock::time_point time_of_day)
 {
 	replica_statements read;
 	const bool is_refusal = head.status == unavailable;
--- a/src/proxy/upstream_link.cpp
+++ b/src/proxy/upstream_link.cpp
@@ -17,9 +17,9 @@
 
 constexpr int first_success = 200;
 
-answer_head head_of(const beast::http::response_parser<beast::http::string_body>& parser)
+response_head head_of(const beast::http::response_parser<beast::http::string_body>& parser)
 {
-	answer_head head;
+	response_head head;
 	const auto& message = parser.get();
 	head.status = static_cast<int>(message.result_int());
 	head.reason = std::string{message.reason()};
--- a/tests/platform/unknown_statements.cpp
+++ b/tests/platform/unknown_statements.cpp
@@ -30,7 +30,7 @@
 
 TEST_CASE("headers of an answer with the platform's prefixes that nobody reads are unknown", "[statements]")
 {
-	proxy::answer_head head;
+	proxy::response_head head;
 	head.status = 200;
 	head.fields = {{"X-Gingerdyke-Request-Id", "q"}, {"x-gingerdyke-server-stamp", "s"},
 		{"Server-Limit", "2"}, {"Server-Mood", "good"}, {"X-Gingerdyke-New", "1"}, {"Server", "s"},
--- a/tests/proxy/replica_statements.cpp
+++ b/tests/proxy/replica_statements.cpp
@@ -13,7 +13,7 @@
 
 proxy::replica_statements read(int status, proxy::header_fields fields)
 {
-	proxy::answer_head head;
+	proxy::response_head head;
 	head.status = status;
 	head.fields = std::move(fields);
 	return proxy::read_statements(head, test_names(), some_day);
--- a/tests/support/proxy_world.hpp
+++ b/tests/support/proxy_world.hpp
@@ -124,7 +124,7 @@
 	std::shared_ptr<proxy::caller_link_host> host()
 	{
 		auto made = std::make_shared<proxy::caller_link_host>();
-		made->handle = [this](proxy::request what, std::shared_ptr<proxy::answer_sink> to)
+		made->handle = [this](proxy::request what, std::shared_ptr<proxy::response_sink> to)
 		{ return gateway_.handle(std::move(what), std::move(to)); };
 		made->limits = [this] { return data.limits; };
 		made->stopping = [] { return false; };
