--- a/include/gingerdyke/proxy/caller_link.hpp
+++ b/include/gingerdyke/proxy/caller_link.hpp
@@ -38,10 +38,10 @@
 	[[nodiscard]] bool busy() const noexcept { return state_ != state::idle && state_ != state::closed; }
 
 	void send(response answer) override;
-	void begin(int status, std::string_view reason, const header_fields& fields) override;
-	void pass(std::string_view bytes) override;
-	void end() override;
-	void break_off() override;
+	void send_head(int status, std::string_view reason, const header_fields& fields) override;
+	void write_body(std::string_view bytes) override;
+	void end_stream() override;
+	void abort_stream() override;
 
   private:
 	using parser = beast::http::request_parser<beast::http::string_body>;
--- a/include/gingerdyke/proxy/response_sink.hpp
+++ b/include/gingerdyke/proxy/response_sink.hpp
@@ -29,16 +29,16 @@
 	virtual void send(response answer) = 0;
 
 	/// \brief Begins an answer whose length is not known.
-	virtual void begin(int status, std::string_view reason, const header_fields& fields) = 0;
+	virtual void send_head(int status, std::string_view reason, const header_fields& fields) = 0;
 
 	/// \brief Passes bytes of the body on at once.
-	virtual void pass(std::string_view bytes) = 0;
+	virtual void write_body(std::string_view bytes) = 0;
 
 	/// \brief Ends the answer as complete.
-	virtual void end() = 0;
+	virtual void end_stream() = 0;
 
 	/// \brief Ends the answer so that the caller sees that it is not complete.
-	virtual void break_off() = 0;
+	virtual void abort_stream() = 0;
 };
 
 /// \brief A request being answered.
--- a/src/proxy/caller_link.cpp
+++ b/src/proxy/caller_link.cpp
@@ -89,7 +89,7 @@
 	finish_response(stays_open);
 }
 
-void caller_connection::begin(int status, std::string_view reason, const header_fields& fields)
+void caller_connection::send_head(int status, std::string_view reason, const header_fields& fields)
 {
 	if (state_ != state::answering)
 	{
@@ -109,7 +109,7 @@
 	write(write_head(status, reason, fields, framing));
 }
 
-void caller_connection::pass(std::string_view bytes)
+void caller_connection::write_body(std::string_view bytes)
 {
 	if (state_ != state::answering || bytes.empty())
 	{
@@ -118,7 +118,7 @@
 	write(is_chunked_ ? write_chunk(bytes) : std::string{bytes});
 }
 
-void caller_connection::end()
+void caller_connection::end_stream()
 {
 	if (state_ != state::answering)
 	{
@@ -131,7 +131,7 @@
 	finish_response(keep_alive_);
 }
 
-void caller_connection::break_off()
+void caller_connection::abort_stream()
 {
 	if (state_ == state::closed)
 	{
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -355,7 +355,7 @@
 {
 	if (response_started_)
 	{
-		sink_->break_off();
+		sink_->abort_stream();
 		finish(request_outcome::broken_off, 0, "time limit");
 		return;
 	}
@@ -408,7 +408,7 @@
 {
 	if (response_started_)
 	{
-		sink_->break_off();
+		sink_->abort_stream();
 		finish(request_outcome::broken_off, 0, std::move(reason));
 		return;
 	}
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -265,9 +265,9 @@
 			response_started_ = true;
 			first_byte_time_ = steady_now() - arrived_;
 			const auto& head = attempt_->head;
-			sink_->begin(head.status, head.reason, without_hop_by_hop_fields(head.fields));
+			sink_->send_head(head.status, head.reason, without_hop_by_hop_fields(head.fields));
 		}
-		sink_->pass(event);
+		sink_->write_body(event);
 	}
 	if (batch.is_broken)
 	{
@@ -309,7 +309,7 @@
 	}
 	attempt_->run_outcome = quarantine::run_end::survived;
 	end_attempt(true);
-	sink_->end();
+	sink_->end_stream();
 	finish(request_outcome::served, 200, {});
 }
 
