--- a/include/gingerdyke/proxy/caller_link.hpp
+++ b/include/gingerdyke/proxy/caller_link.hpp
@@ -10,7 +10,7 @@
 namespace gingerdyke::proxy
 {
 /// \brief What connections of callers need from the process that they belong to.
-struct caller_link_host
+struct caller_connection_callbacks
 {
 	/// Answers a request.
 	request_handler handle;
@@ -26,7 +26,7 @@
 class caller_connection : public response_sink, public std::enable_shared_from_this<caller_connection>
 {
   public:
-	caller_connection(tcp::socket socket, std::shared_ptr<const caller_link_host> host);
+	caller_connection(tcp::socket socket, std::shared_ptr<const caller_connection_callbacks> callbacks);
 
 	/// \brief Begins to read.
 	void start();
@@ -75,7 +75,7 @@
 	void close();
 
 	tcp::socket socket_;
-	std::shared_ptr<const caller_link_host> host_;
+	std::shared_ptr<const caller_connection_callbacks> callbacks_;
 	routing::caller_limits limits_;
 	boot_timer timer_;
 	beast::flat_buffer buffer_;
--- a/include/gingerdyke/proxy/listener.hpp
+++ b/include/gingerdyke/proxy/listener.hpp
@@ -13,7 +13,7 @@
 class listener
 {
   public:
-	listener(asio::io_context& context, std::shared_ptr<const caller_link_host> host);
+	listener(asio::io_context& context, std::shared_ptr<const caller_connection_callbacks> callbacks);
 
 	/// \brief Begins to listen.
 	/// \returns What stands against it; none where it listens.
@@ -36,7 +36,7 @@
 	void accept();
 	void remove_closed();
 
-	std::shared_ptr<const caller_link_host> host_;
+	std::shared_ptr<const caller_connection_callbacks> callbacks_;
 	tcp::acceptor acceptor_;
 	boot_timer accept_retry_timer_;
 	std::vector<std::weak_ptr<caller_connection>> connections_;
--- a/src/proxy/caller_link.cpp
+++ b/src/proxy/caller_link.cpp
@@ -43,8 +43,8 @@
 }
 } // namespace
 
-caller_connection::caller_connection(tcp::socket socket, std::shared_ptr<const caller_link_host> host)
-	: socket_(std::move(socket)), host_(std::move(host)), limits_(host_->limits()),
+caller_connection::caller_connection(tcp::socket socket, std::shared_ptr<const caller_connection_callbacks> callbacks)
+	: socket_(std::move(socket)), callbacks_(std::move(callbacks)), limits_(callbacks_->limits()),
 	  timer_(socket_.get_executor())
 {
 }
@@ -70,7 +70,7 @@
 	{
 		return;
 	}
-	const bool stays_open = keep_alive_ && !host_->stopping();
+	const bool stays_open = keep_alive_ && !callbacks_->stopping();
 	header_fields framing{{"Content-Length", std::to_string(answer.body.size())}};
 	if (!stays_open)
 	{
@@ -96,7 +96,7 @@
 		return;
 	}
 	is_chunked_ = request_.is_http_11;
-	keep_alive_ = keep_alive_ && is_chunked_ && !host_->stopping();
+	keep_alive_ = keep_alive_ && is_chunked_ && !callbacks_->stopping();
 	header_fields framing;
 	if (is_chunked_)
 	{
@@ -203,7 +203,7 @@
 		switch (state_)
 		{
 		case state::idle:
-			limits_ = host_->limits();
+			limits_ = callbacks_->limits();
 			state_ = state::reading_head;
 			arm_timer(limits_.header_time);
 			break;
@@ -315,7 +315,7 @@
 		refuse(bad_request, "target is not a path");
 		return;
 	}
-	auto active = host_->handle(request_, shared_from_this());
+	auto active = callbacks_->handle(request_, shared_from_this());
 	if (state_ == state::answering)
 	{
 		active_ = std::move(active);
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -18,8 +18,8 @@
 constexpr duration accept_retry_delay = std::chrono::milliseconds{50};
 } // namespace
 
-listener::listener(asio::io_context& context, std::shared_ptr<const caller_link_host> host)
-	: host_(std::move(host)), acceptor_(context), accept_retry_timer_(context), removal_threshold_(min_removal_threshold)
+listener::listener(asio::io_context& context, std::shared_ptr<const caller_connection_callbacks> callbacks)
+	: callbacks_(std::move(callbacks)), acceptor_(context), accept_retry_timer_(context), removal_threshold_(min_removal_threshold)
 {
 }
 
@@ -62,7 +62,7 @@
 					});
 				return;
 			}
-			const auto connection = std::make_shared<caller_connection>(std::move(socket), host_);
+			const auto connection = std::make_shared<caller_connection>(std::move(socket), callbacks_);
 			connections_.push_back(connection);
 			connection->start();
 			remove_closed();
--- a/tests/support/proxy_world.hpp
+++ b/tests/support/proxy_world.hpp
@@ -121,9 +121,9 @@
 		return made;
 	}
 
-	std::shared_ptr<proxy::caller_link_host> host()
+	std::shared_ptr<proxy::caller_connection_callbacks> host()
 	{
-		auto made = std::make_shared<proxy::caller_link_host>();
+		auto made = std::make_shared<proxy::caller_connection_callbacks>();
 		made->handle = [this](proxy::request what, std::shared_ptr<proxy::response_sink> to)
 		{ return gateway_.handle(std::move(what), std::move(to)); };
 		made->limits = [this] { return data.limits; };
