--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -127,13 +127,13 @@
 
 	/// \brief Takes a newer configuration; an older one or the same is ignored.
 	/// \returns Whether it was taken.
-	bool take(routing::catalog_ptr next);
+	bool apply_catalog(routing::catalog_ptr next);
 
 	/// \brief Takes the whole registry of replicas.
-	void take_replicas(std::vector<routing::replica> entries, instant now);
+	void set_replicas(std::vector<routing::replica> entries, instant now);
 
 	/// \brief Notes that the configuration was the newest when a call to the registry was sent.
-	void confirm(instant sent_at);
+	void confirm_catalog(instant sent_at);
 
 	/// \brief How long ago the configuration was last confirmed; none: never.
 	[[nodiscard]] std::optional<duration> catalog_age(instant now) const;
@@ -164,7 +164,7 @@
 	void when_ready(std::function<void()> hook) { ready_hooks_.push_back(std::move(hook)); }
 
 	/// \brief Takes how many VMs share the replicas, this one included.
-	void note_vms(std::size_t count) { vm_count_ = std::max<unsigned>(1, static_cast<unsigned>(count)); }
+	void set_vm_count(std::size_t count) { vm_count_ = std::max<unsigned>(1, static_cast<unsigned>(count)); }
 
 	/// \brief VMs that share the replicas; until they are known as many as a small deployment has.
 	[[nodiscard]] unsigned vm_count() const noexcept { return vm_count_; }
@@ -226,9 +226,9 @@
 	[[nodiscard]] routing::fleet_list& vms() noexcept { return vms_; }
 	[[nodiscard]] routing::evacuated_domains& evacuated() noexcept { return evacuated_domains_; }
 	[[nodiscard]] routing::slow_start& cold_replicas() noexcept { return cold_replicas_; }
-	[[nodiscard]] routing::announced_limits& announced() noexcept { return load_limits_; }
+	[[nodiscard]] routing::announced_limits& load_limits() noexcept { return load_limits_; }
 	[[nodiscard]] routing::rest_periods& resting() noexcept { return backoffs_; }
-	[[nodiscard]] unknown_statements& unknown() noexcept { return unknown_names_; }
+	[[nodiscard]] unknown_statements& unknown_names() noexcept { return unknown_names_; }
 	[[nodiscard]] routing::replica_selector& selector() noexcept { return selector_; }
 	[[nodiscard]] upstream_pool& pool() noexcept { return pool_; }
 	[[nodiscard]] rollout::version_shift& versions() noexcept { return versions_; }
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -53,7 +53,7 @@
 			  [this](instant newest_at, registry_time at)
 			  {
 				  note_suspension();
-				  gateway_.confirm(newest_at);
+				  gateway_.confirm_catalog(newest_at);
 				  gateway_.versions().note_registry_time(at, proxy::steady_now());
 				  suspects_.note_registry_time(at, proxy::steady_now());
 			  },
@@ -216,7 +216,7 @@
 	}
 	if (std::holds_alternative<std::monostate>(*news))
 	{
-		gateway_.unknown().note(proxy::statement_source::operator_row, one.key, layout_.operator_table);
+		gateway_.unknown_names().note(proxy::statement_source::operator_row, one.key, layout_.operator_table);
 	}
 	if (const auto* catalog = std::get_if<routing::catalog_ptr>(&*news))
 	{
@@ -232,7 +232,7 @@
 
 void coordinator::take_catalog(const routing::catalog_ptr& catalog)
 {
-	if (gateway_.take(catalog))
+	if (gateway_.apply_catalog(catalog))
 	{
 		log::write(log::level::info, "configuration in force",
 			{{"version", catalog->version().value()}, {"routes", catalog->route_count()}});
@@ -266,7 +266,7 @@
 	}
 	for (const auto& name : layout_.unknown_replica_fields(one))
 	{
-		gateway_.unknown().note(proxy::statement_source::replica_entry, name, one.key);
+		gateway_.unknown_names().note(proxy::statement_source::replica_entry, name, one.key);
 	}
 }
 
@@ -282,7 +282,7 @@
 	}
 	log::write(log::level::info, "replicas read",
 		{{"count", entries.size()}, {"unreadable", rows.size() - entries.size()}});
-	gateway_.take_replicas(std::move(entries), proxy::steady_now());
+	gateway_.set_replicas(std::move(entries), proxy::steady_now());
 	relay_.on_change(layout_.replica_table);
 }
 
@@ -346,7 +346,7 @@
 		members.push_back({id, vm.domain});
 	}
 	sources_.set_peers(std::move(peers));
-	gateway_.note_vms(vms_.size());
+	gateway_.set_vm_count(vms_.size());
 	gateway_.vms().set(self_.vm, members, proxy::steady_now());
 }
 
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -264,7 +264,7 @@
 	// From here on a replica may run it at any moment, whatever is heard of it.
 	execution_ = execution::may_have_run;
 	attempt_->is_cold = shared_.cold_replicas().is_cold(*to, now);
-	attempt_->is_limited = shared_.announced().is_limited(*to);
+	attempt_->is_limited = shared_.load_limits().is_limited(*to);
 	shared_.note_sent(*to, now);
 	attempt_->connection = shared_.pool().take(to, route_->may_run_again(), now);
 	attempt_->queued_work = work_before_first_token(*to);
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -35,7 +35,7 @@
 	shared_.cold_replicas().note_left(*attempt_->target, attempt_->sent_at, steady_now());
 	if (!attempt_->is_limited)
 	{
-		shared_.announced().note_sent(*attempt_->target, steady_now());
+		shared_.load_limits().note_sent(*attempt_->target, steady_now());
 	}
 	attempt_->connected = true;
 	arm_attempt_timer(first_byte_limit());
@@ -47,7 +47,7 @@
 	const auto& to = *attempt_->target;
 	// What counted as cold, or as limited, when it was chosen has its share already.
 	const bool has_cold_share = attempt_->is_cold || shared_.cold_replicas().takes(to, now);
-	const bool has_limit_share = attempt_->is_limited || shared_.announced().takes(to, now);
+	const bool has_limit_share = attempt_->is_limited || shared_.load_limits().takes(to, now);
 	return shared_.replicas().takes_work(to) && !shared_.evacuated().contains(to.domain) &&
 		   !shared_.backoffs().is_resting(to, now) && has_cold_share && has_limit_share;
 }
@@ -114,7 +114,7 @@
 	const auto said = read_statements(head, shared_.names(), std::chrono::system_clock::now());
 	for (const auto& name : said.unknown)
 	{
-		shared_.unknown().note(statement_source::answer, name, from.id.str());
+		shared_.unknown_names().note(statement_source::answer, name, from.id.str());
 	}
 	if (said.is_draining)
 	{
@@ -134,7 +134,7 @@
 	}
 	if (!said.has_unreadable_limit)
 	{
-		shared_.announced().note_answer(from, {said.load_limit, attempt_->sent_at, id_}, now);
+		shared_.load_limits().note_answer(from, {said.load_limit, attempt_->sent_at, id_}, now);
 	}
 }
 
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -147,7 +147,7 @@
 {
 }
 
-bool gateway::take(routing::catalog_ptr next)
+bool gateway::apply_catalog(routing::catalog_ptr next)
 {
 	if (catalog_ && next->version() <= catalog_->version())
 	{
@@ -159,7 +159,7 @@
 	return true;
 }
 
-void gateway::take_replicas(std::vector<routing::replica> entries, instant now)
+void gateway::set_replicas(std::vector<routing::replica> entries, instant now)
 {
 	replicas_.replace_all(std::move(entries), now);
 	run_ready_hooks();
@@ -178,7 +178,7 @@
 	}
 }
 
-void gateway::confirm(instant sent_at)
+void gateway::confirm_catalog(instant sent_at)
 {
 	if (!catalog_confirmed_at_ || *catalog_confirmed_at_ < sent_at)
 	{
--- a/tests/platform/unknown_statements.cpp
+++ b/tests/platform/unknown_statements.cpp
@@ -47,10 +47,10 @@
 	rows.put("op", "forbid/x", json::object());
 	controlled_vm vm{world, rows, "vm1"};
 	world.run_until([&] { return world.gateway().ready(); });
-	CHECK(world.gateway().unknown().count() == 1);
+	CHECK(world.gateway().unknown_names().count() == 1);
 	rows.put("servers", "r1",
 		{{"service", "x"}, {"address", "127.0.0.1:9"}, {"zone", "a"}, {"version", "v1"}, {"slots", 64},
 			{"state", "ready"}, {"sequence", 4}, {"models", json::array()}, {"mood", "good"}});
 	world.run_until([&] { return world.gateway().replicas().find(replica_id{"r1"}) != nullptr; });
-	CHECK(world.gateway().unknown().count() == 2);
+	CHECK(world.gateway().unknown_names().count() == 2);
 }
--- a/tests/proxy/evacuated_domain.cpp
+++ b/tests/proxy/evacuated_domain.cpp
@@ -34,7 +34,7 @@
 		  first{world.context, answer}, beside{world.context, answer}, elsewhere{world.context, answer}
 	{
 		world.start({});
-		world.gateway().take_replicas(
+		world.gateway().set_replicas(
 			{entry_of("r0", "b", service, first), entry_of("r1", "b", service, beside),
 				entry_of("r2", "c", service, elsewhere)},
 			proxy::steady_now());
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -441,7 +441,7 @@
 	world.start({{"plain", &replica}});
 	CHECK(world.ask(request_to("GET", "/safe/a", "", "Authorization: Token wrong\r\n"))
 			  .starts_with("HTTP/1.1 401 "));
-	world.gateway().confirm(proxy::steady_now() + std::chrono::hours{1});
+	world.gateway().confirm_catalog(proxy::steady_now() + std::chrono::hours{1});
 	CHECK(world.ask(request_to("GET", "/safe/a", "", "Authorization: Token secret\r\n")).ends_with("x"));
 	REQUIRE(replica.requests().size() == 1);
 	CHECK(contains(replica.requests().front(), "Workspace: w\r\n"));
--- a/tests/proxy/named_limit.cpp
+++ b/tests/proxy/named_limit.cpp
@@ -75,7 +75,7 @@
 	{
 		CHECK(world.ask(request_to("GET", "/safe/a")).ends_with("x"));
 	}
-	CHECK(world.gateway().announced().size() == 0);
+	CHECK(world.gateway().load_limits().size() == 0);
 }
 
 TEST_CASE("a limit counts beside another one that can't be read", "[exchange][limit]")
@@ -84,5 +84,5 @@
 	scripted_replica limited{world.context, answers("200 OK", "Load-Limit: many\r\nLoad-Limit: 0.5\r\n")};
 	world.start({{"plain", &limited}});
 	static_cast<void>(world.ask(request_to("GET", "/safe/a")));
-	CHECK(world.gateway().announced().size() == 1);
+	CHECK(world.gateway().load_limits().size() == 1);
 }
--- a/tests/proxy/suspended_vm.cpp
+++ b/tests/proxy/suspended_vm.cpp
@@ -38,7 +38,7 @@
 	suspended_clock::sleep(seconds{6});
 	CHECK(world.ask(request).starts_with("HTTP/1.1 503 "));
 	CHECK(replica.requests().size() == 1);
-	world.gateway().confirm(proxy::steady_now());
+	world.gateway().confirm_catalog(proxy::steady_now());
 	CHECK(world.ask(request).starts_with("HTTP/1.1 200 "));
 }
 
--- a/tests/support/proxy_world.hpp
+++ b/tests/support/proxy_world.hpp
@@ -64,8 +64,8 @@
 	/// \brief Puts the configuration in force and makes the replicas known.
 	void start(const std::vector<std::pair<std::string, const scripted_replica*>>& replicas)
 	{
-		gateway_.take(std::make_shared<const routing::catalog>(data));
-		gateway_.confirm(proxy::steady_now());
+		gateway_.apply_catalog(std::make_shared<const routing::catalog>(data));
+		gateway_.confirm_catalog(proxy::steady_now());
 		std::vector<routing::replica> entries;
 		for (const auto& [service, one] : replicas)
 		{
@@ -76,7 +76,7 @@
 			entry.version = "v1";
 			entries.push_back(entry);
 		}
-		gateway_.take_replicas(std::move(entries), proxy::steady_now());
+		gateway_.set_replicas(std::move(entries), proxy::steady_now());
 	}
 
 	[[nodiscard]] proxy::gateway& gateway() noexcept { return gateway_; }
