--- a/include/gingerdyke/proxy/upstream_pool.hpp
+++ b/include/gingerdyke/proxy/upstream_pool.hpp
@@ -29,21 +29,21 @@
 
 	/// \brief A connection to a replica: an idle one, else a new one.
 	/// \param may_run_again The request may be sent again where the connection turns out to be dead.
-	[[nodiscard]] std::shared_ptr<upstream_connection> take(
+	[[nodiscard]] std::shared_ptr<upstream_connection> acquire(
 		const routing::replica_ptr& to, bool may_run_again, instant now);
 
 	/// \brief Takes back a connection whose request is over; keeps it where it may be used again.
-	void give_back(const std::shared_ptr<upstream_connection>& connection, instant now);
+	void release(const std::shared_ptr<upstream_connection>& connection, instant now);
 
 	/// \brief Connections to a replica, idle and in use.
-	[[nodiscard]] unsigned open(const replica_id& id) const;
+	[[nodiscard]] unsigned connection_count(const replica_id& id) const;
 
 	/// \brief Idle connections to a replica.
-	[[nodiscard]] std::size_t idle(const replica_id& id) const;
+	[[nodiscard]] std::size_t idle_count(const replica_id& id) const;
 
 	/// \brief Closes idle connections to a replica that is gone or started again; those in use are closed
 	/// when they are given back.
-	void drop(const replica_id& id);
+	void close_idle_connections(const replica_id& id);
 
   private:
 	struct idle_connection
@@ -56,7 +56,7 @@
 	{
 		/// The process that the connections lead to.
 		routing::replica_incarnation incarnation;
-		std::vector<idle_connection> idle;
+		std::vector<idle_connection> idle_connections;
 		unsigned in_use{};
 	};
 
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -160,13 +160,13 @@
 bool exchange::has_free_connection(const routing::replica& one) const
 {
 	const auto limit = service_ == nullptr ? 0 : service_->connections_per_replica;
-	if (limit == 0 || shared_.pool().idle(one.id) > 0)
+	if (limit == 0 || shared_.pool().idle_count(one.id) > 0)
 	{
 		return true;
 	}
 	// Replicas reset connections beyond their limit, which counts those of all VMs.
 	const auto share = limit / shared_.vm_count();
-	return shared_.pool().open(one.id) < std::max(shared_.tuning().min_connections, share);
+	return shared_.pool().connection_count(one.id) < std::max(shared_.tuning().min_connections, share);
 }
 
 bool exchange::targets_engine() const
@@ -266,7 +266,7 @@
 	attempt_->is_cold = shared_.cold_replicas().is_cold(*to, now);
 	attempt_->is_limited = shared_.load_limits().is_limited(*to);
 	shared_.note_sent(*to, now);
-	attempt_->connection = shared_.pool().take(to, route_->may_run_again(), now);
+	attempt_->connection = shared_.pool().acquire(to, route_->may_run_again(), now);
 	attempt_->queued_work = work_before_first_token(*to);
 	const auto weight = model_weight();
 	attempt_->work = prompt_.input_tokens * weight + prompt_.decode_work() * weight;
@@ -322,7 +322,7 @@
 	{
 		attempt_->connection->close();
 	}
-	shared_.pool().give_back(attempt_->connection, steady_now());
+	shared_.pool().release(attempt_->connection, steady_now());
 	attempt_.reset();
 }
 
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -466,13 +466,13 @@
 		load_limits_.forget(one.id);
 		backoffs_.forget(one.id);
 		logged_unreadable_replicas_.erase(one.id);
-		pool_.drop(one.id);
+		pool_.close_idle_connections(one.id);
 		selector_.forget(one.id);
 		exit_detector_.runs().release(one.id, steady_now());
 	}
 	if (change == routing::replica_change::leaving)
 	{
-		pool_.drop(one.id);
+		pool_.close_idle_connections(one.id);
 	}
 	versions_.note_replicas(one.service, replicas_.of(one.service));
 }
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -10,16 +10,16 @@
 {
 }
 
-std::shared_ptr<upstream_connection> upstream_pool::take(
+std::shared_ptr<upstream_connection> upstream_pool::acquire(
 	const routing::replica_ptr& to, bool may_run_again, instant now)
 {
 	auto& known = entry_of(*to);
 	++known.in_use;
 	// The one used last is the least likely to be dead.
-	while (!known.idle.empty())
+	while (!known.idle_connections.empty())
 	{
-		const auto last = std::move(known.idle.back());
-		known.idle.pop_back();
+		const auto last = std::move(known.idle_connections.back());
+		known.idle_connections.pop_back();
 		if (is_usable(last, may_run_again, now))
 		{
 			return last.connection;
@@ -43,13 +43,13 @@
 
 void upstream_pool::close_idle(entry& of)
 {
-	for (const auto& one : std::exchange(of.idle, {}))
+	for (const auto& one : std::exchange(of.idle_connections, {}))
 	{
 		one.connection->close();
 	}
 }
 
-void upstream_pool::give_back(const std::shared_ptr<upstream_connection>& connection, instant now)
+void upstream_pool::release(const std::shared_ptr<upstream_connection>& connection, instant now)
 {
 	const auto id = connection->target()->id;
 	const auto found = entries_.find(id);
@@ -65,23 +65,23 @@
 		return;
 	}
 	connection->on_idle_close([this, id, raw = connection.get()] { remove_idle(id, raw); });
-	found->second.idle.push_back({connection, now});
+	found->second.idle_connections.push_back({connection, now});
 }
 
-unsigned upstream_pool::open(const replica_id& id) const
+unsigned upstream_pool::connection_count(const replica_id& id) const
 {
 	const auto found = entries_.find(id);
 	return found == entries_.end() ? 0
-								   : found->second.in_use + static_cast<unsigned>(found->second.idle.size());
+								   : found->second.in_use + static_cast<unsigned>(found->second.idle_connections.size());
 }
 
-std::size_t upstream_pool::idle(const replica_id& id) const
+std::size_t upstream_pool::idle_count(const replica_id& id) const
 {
 	const auto found = entries_.find(id);
-	return found == entries_.end() ? 0 : found->second.idle.size();
+	return found == entries_.end() ? 0 : found->second.idle_connections.size();
 }
 
-void upstream_pool::drop(const replica_id& id)
+void upstream_pool::close_idle_connections(const replica_id& id)
 {
 	const auto found = entries_.find(id);
 	if (found == entries_.end())
@@ -112,7 +112,7 @@
 	const auto found = entries_.find(id);
 	if (found != entries_.end())
 	{
-		std::erase_if(found->second.idle, [connection](const idle_connection& one) { return one.connection.get() == connection; });
+		std::erase_if(found->second.idle_connections, [connection](const idle_connection& one) { return one.connection.get() == connection; });
 	}
 }
 } // namespace gingerdyke::proxy
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -397,7 +397,7 @@
 	scripted_caller caller{world.context, world.port()};
 	caller.send(request_to("POST", "/unsafe/a", "body"));
 	auto& gateway = world.gateway();
-	const auto in_use = [&](const char* id) { return gateway.pool().open(replica_id{id}) > 0; };
+	const auto in_use = [&](const char* id) { return gateway.pool().connection_count(replica_id{id}) > 0; };
 	world.run_until([&] { return in_use("r0") || in_use("r1"); });
 	const bool is_first = in_use("r0");
 	const auto& left = is_first ? first : second;
--- a/tests/routing/restarted_replica.cpp
+++ b/tests/routing/restarted_replica.cpp
@@ -135,14 +135,14 @@
 	proxy::upstream_pool pool{context, "Request-Id"};
 	const auto before = std::make_shared<const replica>(started("r0", 1000));
 	const auto after = std::make_shared<const replica>(started("r0", 2000));
-	const auto old_link = pool.take(before, true, at(milliseconds{0}));
-	CHECK(pool.open(replica_id{"r0"}) == 1);
-	const auto new_link = pool.take(after, true, at(milliseconds{10}));
-	CHECK(new_link->to()->incarnation == after->incarnation);
-	CHECK(pool.open(replica_id{"r0"}) == 1);
-	pool.give_back(old_link, at(milliseconds{20}));
-	CHECK(pool.open(replica_id{"r0"}) == 1);
-	CHECK(pool.idle(replica_id{"r0"}) == 0);
+	const auto old_link = pool.acquire(before, true, at(milliseconds{0}));
+	CHECK(pool.connection_count(replica_id{"r0"}) == 1);
+	const auto new_link = pool.acquire(after, true, at(milliseconds{10}));
+	CHECK(new_link->target()->incarnation == after->incarnation);
+	CHECK(pool.connection_count(replica_id{"r0"}) == 1);
+	pool.release(old_link, at(milliseconds{20}));
+	CHECK(pool.connection_count(replica_id{"r0"}) == 1);
+	CHECK(pool.idle_count(replica_id{"r0"}) == 0);
 }
 
 TEST_CASE("a heartbeat that only tells another time for which a replica is cold is news of its own kind",
