--- a/include/gingerdyke/proxy/request_log.hpp
+++ b/include/gingerdyke/proxy/request_log.hpp
@@ -104,7 +104,7 @@
 	}
 
 	/// \brief Counters and histograms in the Prometheus text format.
-	[[nodiscard]] std::string text() const;
+	[[nodiscard]] std::string prometheus_text() const;
 
   private:
 	request_log_tuning tuning_;
--- a/src/proxy/request_log.cpp
+++ b/src/proxy/request_log.cpp
@@ -57,7 +57,7 @@
 			{"replica_suspected", record.replica_is_suspected}, {"lines_left_out", dropped_lines_}});
 }
 
-std::string request_log::text() const
+std::string request_log::prometheus_text() const
 {
 	std::ostringstream out;
 	metrics_.write(out);
