--- a/include/gingerdyke/proxy/asio.hpp
+++ b/include/gingerdyke/proxy/asio.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The one place where Boost.Asio is included: version 1.74 needs <utility> before it under C++20.
+// Includes Boost.Asio and Boost.Beast. All other files include this one: Boost 1.74 needs <utility> before
+// Asio under C++20.
 #pragma once
 
 #include <utility>
@@ -23,16 +24,17 @@
 
 using gingerdyke::steady_now;
 
-/// \brief Sets the options that every connection has: no delay of small writes, and a peer that is silently
-/// gone is noticed within seconds.
+/// \brief Sets the options of every TCP connection: no Nagle delay, and keep-alive probes that detect an
+/// unreachable peer within seconds.
 void set_connection_options(tcp::socket& socket);
 
-/// \brief Sets how long sent bytes may stay unacknowledged before a connection counts as broken.
+/// \brief Sets how long sent bytes may stay unacknowledged before the kernel drops the connection
+/// (`TCP_USER_TIMEOUT`).
 void set_unacknowledged_timeout(tcp::socket& socket, duration timeout);
 
-/// \brief Opens an acceptor at an address.
-/// \param backlog Connections that wait to be accepted.
-/// \returns What stands against it; none where it listens.
+/// \brief Opens an acceptor on an IPv4 address.
+/// \param backlog Maximum number of connections that wait to be accepted.
+/// \returns The error if it cannot listen; otherwise no error.
 [[nodiscard]] error_code open_acceptor(
 	tcp::acceptor& acceptor, const std::string& ip, std::uint16_t port, int backlog);
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/caller_link.hpp
+++ b/include/gingerdyke/proxy/caller_link.hpp
@@ -1,43 +1,44 @@
 // SPDX-License-Identifier: MIT
-// One connection of a caller: reads requests, answers them in order, sees the caller leave.
+// A caller's HTTP connection: reads requests, writes their responses in order and detects that the caller has
+// disconnected.
 #pragma once
 
-#include <gingerdyke/proxy/response_sink.hpp>
 #include <gingerdyke/proxy/asio.hpp>
+#include <gingerdyke/proxy/response_sink.hpp>
 #include <gingerdyke/routing/catalog.hpp>
 #include <optional>
 
 namespace gingerdyke::proxy
 {
-/// \brief What connections of callers need from the process that they belong to.
+/// \brief Callbacks from a caller's connection to the process that accepted it.
 struct caller_connection_callbacks
 {
-	/// Answers a request.
+	/// Handles a request.
 	request_handler handle;
 
-	/// Bounds in force now.
+	/// Returns the limits on callers that apply now.
 	std::function<routing::caller_limits()> limits;
 
-	/// True while the process is being stopped: answers close their connection.
+	/// Returns whether the process is shutting down: connections are then closed after their response.
 	std::function<bool()> stopping;
 };
 
-/// \brief One connection of a caller.
+/// \brief A caller's HTTP/1.x connection.
 class caller_connection : public response_sink, public std::enable_shared_from_this<caller_connection>
 {
   public:
 	caller_connection(tcp::socket socket, std::shared_ptr<const caller_connection_callbacks> callbacks);
 
-	/// \brief Begins to read.
+	/// \brief Starts to read requests.
 	void start();
 
-	/// \brief Closes the connection if no request is under way or being read.
+	/// \brief Closes the connection if no request is being read or handled.
 	void close_if_idle();
 
-	/// \brief True while a request is being read or answered.
+	/// \brief Whether a request is being read or handled.
 	[[nodiscard]] bool busy() const noexcept { return state_ != state::idle && state_ != state::closed; }
 
-	void send(response answer) override;
+	void send(response outgoing) override;
 	void send_head(int status, std::string_view reason, const header_fields& fields) override;
 	void write_body(std::string_view bytes) override;
 	void end_stream() override;
@@ -52,8 +53,8 @@
 		idle,
 		reading_head,
 		reading_body,
-		answering,
-		/// The last answer is being written, then the connection closes.
+		responding,
+		/// The last response is being written; the connection closes after it.
 		finishing,
 		closed,
 	};
--- a/include/gingerdyke/proxy/event_stream.hpp
+++ b/include/gingerdyke/proxy/event_stream.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Cuts a stream of server-sent events into whole events and checks that their ids rise without a hole.
+// Splits a stream of server-sent events (SSE) into events and checks that their ids are consecutive.
 #pragma once
 
 #include <cstdint>
@@ -10,37 +10,37 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief What a piece of the stream brought.
+/// \brief Result of parsing one part of the stream.
 struct event_batch
 {
-	/// Whole events, each with the empty line that ends it, byte by byte as they came.
+	/// Complete events, byte for byte as received, each with the empty line that ends it.
 	std::vector<std::string> events;
 
-	/// The stream is not to be read on: an id is missing, repeated or no number, or an event grew too large.
+	/// The stream must not be read further: an id was skipped or repeated, or an event is too large.
 	bool is_broken{};
 };
 
-/// \brief Follows one answer's events over all attempts that make it.
+/// \brief Parses the events of one response, which may be continued by further attempts.
 class event_stream
 {
   public:
-	/// \param last Id of the last event that the caller has; none: it has none.
-	/// \param max_event_bytes Bytes of one event at most.
+	/// \param last Id of the last event that the caller has received; none if it has received none.
+	/// \param max_event_bytes Largest size of one event.
 	explicit event_stream(std::optional<std::uint64_t> last = {}, std::size_t max_event_bytes = 1U << 20U)
 		: last_id_(last), max_event_bytes_(max_event_bytes)
 	{
 	}
 
-	/// \brief Adds bytes of the body.
+	/// \brief Parses a further part of the body.
 	[[nodiscard]] event_batch feed(std::string_view bytes);
 
-	/// \brief Drops half an event; for going on with another attempt.
+	/// \brief Discards an incomplete event, so that another attempt can continue the stream.
 	void drop_partial() { partial_.clear(); }
 
-	/// \brief True where the stream stands between two events.
+	/// \brief Whether no incomplete event is buffered.
 	[[nodiscard]] bool at_event_boundary() const noexcept { return partial_.empty(); }
 
-	/// \brief Id of the last whole event; none before the first.
+	/// \brief Id of the last complete event; none before the first.
 	[[nodiscard]] std::optional<std::uint64_t> last_id() const noexcept { return last_id_; }
 
   private:
@@ -51,6 +51,6 @@
 	std::string partial_;
 };
 
-/// \brief The number in an event's `id` line; none where it has none.
+/// \brief The number in an event's `id` line; none if there is no such line or it holds no number.
 [[nodiscard]] std::optional<std::uint64_t> event_id(std::string_view event);
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/exchange.hpp
+++ b/include/gingerdyke/proxy/exchange.hpp
@@ -1,25 +1,26 @@
 // SPDX-License-Identifier: MIT
-// One request from its arrival to its final answer, over all its attempts.
+// Handles one request from arrival to final response, across all its attempts.
 #pragma once
 
-#include <gingerdyke/proxy/response_sink.hpp>
 #include <gingerdyke/proxy/event_stream.hpp>
 #include <gingerdyke/proxy/gateway.hpp>
 #include <gingerdyke/proxy/prompt.hpp>
+#include <gingerdyke/proxy/response_sink.hpp>
 #include <gingerdyke/proxy/stream_pace.hpp>
 
 namespace gingerdyke::proxy
 {
-/// \brief What this VM may tell the caller about a request.
+/// \brief Whether a request may have been executed, as far as this VM knows. It decides what the caller may
+/// be told.
 enum class execution
 {
 	/// No replica has run it.
 	not_run,
-	/// A replica ran it or may have.
+	/// A replica ran it or may have run it.
 	may_have_run,
 };
 
-/// \brief One attempt under way.
+/// \brief An attempt in progress.
 struct attempt
 {
 	routing::replica_ptr target;
@@ -28,46 +29,47 @@
 	std::string body;
 	instant sent_at;
 
-	/// From sending to the head of the answer.
+	/// Time from sending the request to receiving the response head.
 	duration first_byte{};
 	routing::size_step size;
 
 	quarantine::run_number run;
 
-	/// What its end tells about the request, unless it ends otherwise.
+	/// How the replica's run of the request counts for the quarantine, unless it is set to something else
+	/// before the attempt ends.
 	quarantine::run_end run_outcome{quarantine::run_end::given_up};
 
-	/// Work that the replica is counted to have with it now, in tokens read by the largest model.
+	/// Work that this attempt currently adds to the replica's load, in tokens prefilled by the largest model.
 	double work{};
 
-	/// Work that was to be read before its first token, its own prompt's included.
+	/// Work queued at the replica before the first token, including this request's own prompt.
 	double queued_work{};
 
-	/// What was known before it was sent; true again where this replica did not run it.
+	/// Execution state before this attempt; restored if the replica did not run the request.
 	execution execution_before{execution::not_run};
 
-	/// The replica counted as cold, and this VM had a share left.
+	/// The replica was cold, and this attempt used part of this VM's share of its cold limit.
 	bool is_cold{};
 
-	/// The replica named a limit, and this VM had a share left.
+	/// The replica had announced a load limit, and this attempt used part of this VM's share of it.
 	bool is_limited{};
 
-	/// The connection is up: the request may have left.
+	/// The connection is established, so the request may have been sent.
 	bool connected{};
 
-	/// The answer's body is a stream of events.
+	/// The response body is a stream of events.
 	bool is_stream{};
 	stream_pace pace;
 };
 
-/// \brief One request. Decides where it goes, whether it goes again, and what its caller is told.
+/// \brief Handles one request: chooses its replicas, decides on retries and on what the caller is told.
 class exchange : public active_request, public std::enable_shared_from_this<exchange>
 {
   public:
-	exchange(gateway& shared, request what, std::shared_ptr<response_sink> to);
+	exchange(gateway& shared, request incoming, std::shared_ptr<response_sink> output);
 
-	/// \brief Admits the request and sends it on, or refuses it; waits a little where the VM is not ready
-	/// yet.
+	/// \brief Admits and dispatches the request or refuses it. Waits for a bounded time if the VM is not
+	/// ready yet.
 	void start();
 
 	void cancel() override;
@@ -87,12 +89,12 @@
 	[[nodiscard]] routing::replica_ptr choose_replica() const;
 	using replica_filter = std::function<bool(const routing::replica&)>;
 	[[nodiscard]] routing::replica_ptr choose_replica_among(const replica_filter& allowed) const;
-	[[nodiscard]] std::optional<duration> time_until_servable(const routing::replica& at) const;
-	[[nodiscard]] bool has_free_connection(const routing::replica& one) const;
+	[[nodiscard]] std::optional<duration> time_until_servable(const routing::replica& engine) const;
+	[[nodiscard]] bool has_free_connection(const routing::replica& candidate) const;
 	[[nodiscard]] bool targets_engine() const;
 	[[nodiscard]] double model_weight() const;
-	[[nodiscard]] double work_before_first_token(const routing::replica& at) const;
-	[[nodiscard]] duration time_to_first_token(const routing::replica& at) const;
+	[[nodiscard]] double work_before_first_token(const routing::replica& engine) const;
+	[[nodiscard]] duration time_to_first_token(const routing::replica& engine) const;
 	[[nodiscard]] header_fields upstream_fields(const routing::replica& to) const;
 	[[nodiscard]] bool may_retry() const;
 	void send_to(const routing::replica_ptr& to);
@@ -102,7 +104,7 @@
 	void note_run_end();
 	void note_result(routing::replica_result result);
 
-	// What the replica does.
+	// Events from the replica.
 	void on_connected();
 	[[nodiscard]] bool is_still_sendable() const;
 	void on_head(response_head head);
@@ -124,14 +126,14 @@
 	[[nodiscard]] duration expected_first_token() const;
 	void forward_buffered_response();
 
-	// Time.
+	// Timeouts.
 	void arm_attempt_timer(duration span);
 	void on_attempt_timer();
 	void on_deadline();
 	[[nodiscard]] duration time_left() const;
 	[[nodiscard]] duration first_byte_limit() const;
 
-	// Endings; each answers the caller once.
+	// Final outcomes; each responds to the caller once.
 	void refuse(int status, std::string reason);
 	void refuse_quarantined();
 	void refuse_without_replica();
@@ -162,7 +164,7 @@
 	routing::size_step model_step_;
 	routing::replica_ptr last_replica_;
 
-	/// Its entry was missing when the request was sent to it.
+	/// The registry entry of the last replica was missing when the request was sent to it.
 	bool last_was_missing_ = false;
 	execution execution_{execution::not_run};
 	unsigned attempt_count_ = 0;
--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: MIT
-// What all requests of a VM share: the configuration in force, the replicas, the budgets.
+// State shared by all requests of a VM: the configuration in force, the replicas and the retry budgets.
 #pragma once
 
 #include <algorithm>
 #include <gingerdyke/limits/attempt_budget.hpp>
-#include <gingerdyke/proxy/response_sink.hpp>
 #include <gingerdyke/proxy/header_names.hpp>
 #include <gingerdyke/proxy/replica_end_watch.hpp>
 #include <gingerdyke/proxy/request_log.hpp>
+#include <gingerdyke/proxy/response_sink.hpp>
 #include <gingerdyke/proxy/unknown_statements.hpp>
 #include <gingerdyke/proxy/upstream_pool.hpp>
 #include <gingerdyke/quarantine/suspect_list.hpp>
@@ -28,194 +28,203 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief Tuning of the data path; each figure with its reason.
+/// \brief Tuning of the data path.
 struct gateway_tuning
 {
-	/// An attempt that may be repeated is given up without a first byte after this part of the objective.
-	/// Below 1 a busy engine's callers would be taken away just before their answers begin, and wait twice.
+	/// A repeatable attempt without a first byte is abandoned after the route's latency objective times this.
+	/// Below 1, requests would be taken from a busy engine just before it responds, and wait in a queue
+	/// twice.
 	double first_byte_timeout_factor = 1.2;
 
-	/// The same for answers that come whole; their times spread up to seven times the mean.
+	/// The same for responses that are not streamed. Their times vary more: up to seven times the mean.
 	double buffered_response_timeout_factor = 1.7;
 
-	/// A stream that pauses for this multiple of the longest pause in time goes on elsewhere; reason as
-	/// above.
+	/// A stream is resumed on another replica after a pause of this multiple of the route's longest
+	/// acceptable pause. Above 1 for the same reason as `first_byte_timeout_factor`.
 	double stream_pause_timeout_factor = 1.6;
 
-	/// Shortest of the limits above, for routes with a very short objective.
+	/// Lower bound of the timeouts above, for routes with a very short objective.
 	duration min_attempt_timeout = std::chrono::milliseconds{150};
 
-	/// A connection that is not up by then is given up: a thousand times the users' usual time.
+	/// Timeout of establishing a connection: a thousand times the usual time on the users' networks.
 	duration connect_timeout = std::chrono::milliseconds{400};
 
-	/// A request that may run again is taken from a replica that does not acknowledge its bytes for this
-	/// long: three losses in a row on the users' links take longer. Others wait as long as the connection
-	/// does.
+	/// A repeatable request is taken from a replica that leaves its bytes unacknowledged for this long; three
+	/// consecutive packet losses on the users' links take longer. Other requests wait for as long as the
+	/// connection lasts.
 	duration unacknowledged_timeout = std::chrono::milliseconds{900};
 
-	/// Replicas tried, at most, to which no connection came up: nothing was sent, so they are no attempts.
+	/// Maximum number of replicas to which the connection failed. As nothing was sent to them, they do not
+	/// count as attempts.
 	unsigned max_failed_connections = 6;
 
-	/// Connections to one replica that a VM may have whatever its share of the replica's limit is: a share
-	/// that is smaller would make requests wait while other VMs use none.
+	/// Connections that a VM may open to a replica even if its share of the replica's limit is smaller: with
+	/// a smaller share, requests would wait while other VMs leave theirs unused.
 	unsigned min_connections = 4;
 
-	/// An attempt is not begun with less than this left: it could only end too late.
+	/// No attempt starts with less than this remaining, as it could only end too late.
 	duration min_attempt_time = std::chrono::milliseconds{20};
 
-	/// A stopping VM takes no streams after this time, and no other requests after the longer one: what it
-	/// takes must end before the process does. The users' shortest limit for a stop is 8 s.
+	/// For how long after the start of a shutdown new streams, and other new requests, are accepted. Accepted
+	/// requests must end before the process does; the shortest shutdown limit of the users is 8 s.
 	duration stream_acceptance_while_stopping = std::chrono::milliseconds{2900};
 	duration request_acceptance_while_stopping = std::chrono::milliseconds{5500};
 
-	/// A request that comes before the VM is ready waits this long at most: with a registry that answers, a
-	/// VM that has just started is ready sooner.
+	/// Maximum wait of a request that arrives before the VM is ready. If the registry responds, a VM that has
+	/// just started is ready sooner.
 	duration max_ready_wait = std::chrono::milliseconds{400};
 
-	/// A request is refused where its first token is expected after this multiple of the time that it has.
-	/// The expectation is a mean: with 1, half of those refused would have been answered.
+	/// A request is refused if its first token is expected later than this multiple of its remaining time.
+	/// The expectation is a mean: with a factor of 1, half of the refused requests would have been served.
 	int refusal_factor = 2;
 
-	/// Callers who wait for the same replicas are told to come back over this much more of the wait: all at
-	/// one moment would overload what has just returned.
+	/// Random increase of `Retry-After`, relative to the wait: callers that all returned at the same moment
+	/// would overload replicas that have just become available.
 	double retry_after_jitter = 0.5;
 
-	/// When a refused caller may come back: about the time after which another VM or replica is likely found.
+	/// Default and minimum `Retry-After` of refused requests: about the time after which another VM or
+	/// replica is likely to be available.
 	duration retry_after = std::chrono::milliseconds{250};
 };
 
-/// \brief Fleet-wide bounds that the deployment states.
+/// \brief Fleet-wide limits set by the deployment.
 struct fleet_bounds
 {
 	limits::attempt_budget_tuning attempts;
 
-	/// A key that was taken away must not work longer than this, on any VM; none: no such bound.
+	/// A revoked API key must be rejected by all VMs after this time; none: no such limit.
 	std::optional<duration> revocation_time;
 
-	/// A change of the configuration is to be in force everywhere within this time; none: no such bound.
+	/// A configuration change must be in force on all VMs within this time; none: no such limit.
 	std::optional<duration> change_limit;
 
-	/// Part of all requests in the time of a shift that a bad version may get; none: an assumed one.
+	/// Fraction of all requests during a version shift that a bad version may receive; none: a default
+	/// applies.
 	std::optional<double> exposure_limit;
 };
 
-/// \brief Why this VM can't answer requests with keys at the moment, or that it can.
+/// \brief Whether this VM can authenticate requests by API key.
 enum class key_trust
 {
 	trusted,
-	/// The configuration was last confirmed too long ago: a key may have been taken away since.
+	/// The configuration was last confirmed too long ago: a key may have been revoked since.
 	stale,
 };
 
-/// \brief A service without a replica that may be sent a request.
+/// \brief Why no replica of a service can be sent a request.
 struct unavailability
 {
-	/// For the log and the caller.
+	/// Reason, for the log and the caller.
 	std::string reason;
 
-	/// How long until that is likely over.
+	/// Estimated time until a replica is available again.
 	duration retry_after{};
 };
 
-/// \brief State shared by all requests. Lives on one event loop.
+/// \brief State shared by all requests. Used on one event loop only.
 class gateway
 {
   public:
-	/// \param log Told how each request ended.
+	/// \param log Records how each request ended.
 	gateway(asio::io_context& context, header_names names, fleet_bounds bounds, failure_domain_id own_domain,
 		random_source random, request_log& log, gateway_tuning tuning = {});
 
-	/// \brief Takes a newer configuration; an older one or the same is ignored.
-	/// \returns Whether it was taken.
+	/// \brief Applies a configuration if it is newer than the one in force.
+	/// \returns Whether it was applied.
 	bool apply_catalog(routing::catalog_ptr next);
 
-	/// \brief Takes the whole registry of replicas.
+	/// \brief Replaces all replicas by the entries of the registry.
 	void set_replicas(std::vector<routing::replica> entries, instant now);
 
-	/// \brief Notes that the configuration was the newest when a call to the registry was sent.
+	/// \brief Records that the configuration was the newest at the time when a call to the registry was sent.
 	void confirm_catalog(instant sent_at);
 
-	/// \brief How long ago the configuration was last confirmed; none: never.
+	/// \brief Time since the configuration was last confirmed; none if it never was.
 	[[nodiscard]] std::optional<duration> catalog_age(instant now) const;
 
-	/// \brief Whether what the configuration does not know can be said not to exist: it was confirmed within
-	/// the time in which a change comes into force. A VM that has lost the registry knows no newer route.
+	/// \brief Whether a route or key that the configuration lacks can be reported as nonexistent: the
+	/// configuration was confirmed within the time in which a change comes into force. A VM that has lost the
+	/// registry does not know newer routes.
 	[[nodiscard]] bool knows_all_routes(instant now) const;
 
-	/// \brief Notes that the table of replicas was the newest at a moment.
+	/// \brief Records the time at which the table of replicas was known to be the newest.
 	void confirm_replicas(instant newest_at);
 
-	/// \brief How long ago the table of replicas was last confirmed; none: never.
+	/// \brief Time since the table of replicas was last confirmed; none if it never was.
 	[[nodiscard]] std::optional<duration> replicas_age(instant now) const;
 
-	/// \brief Whether keys may be trusted now.
+	/// \brief Whether API keys can be trusted now.
 	[[nodiscard]] key_trust trust_in_keys(instant now) const;
 
-	/// \brief Notes that the process is being stopped.
+	/// \brief Records that the process is shutting down.
 	void note_stop(instant now) { stop_started_at_ = now; }
 
-	/// \brief Whether a request may still be taken: always, but late in a stop.
+	/// \brief Whether a new request is accepted: always, except late in a shutdown.
 	[[nodiscard]] bool accepts_requests(bool is_stream, instant now) const;
 
-	/// \brief True once a configuration and the replicas are known.
+	/// \brief Whether a configuration and the replicas are known.
 	[[nodiscard]] bool ready() const { return catalog_ != nullptr && replicas_.known(); }
 
-	/// \brief Calls a hook once, later, as soon as `ready` holds.
+	/// \brief Posts a hook to the event loop once `ready` holds.
 	void when_ready(std::function<void()> hook) { ready_hooks_.push_back(std::move(hook)); }
 
-	/// \brief Takes how many VMs share the replicas, this one included.
+	/// \brief Sets the number of VMs that share the replicas, including this one.
 	void set_vm_count(std::size_t count) { vm_count_ = std::max<unsigned>(1, static_cast<unsigned>(count)); }
 
-	/// \brief VMs that share the replicas; until they are known as many as a small deployment has.
+	/// \brief Number of VMs that share the replicas; until it is known, the size of a small deployment.
 	[[nodiscard]] unsigned vm_count() const noexcept { return vm_count_; }
 
-	/// \brief Why no replica of a service may be sent a request.
+	/// \brief Why no replica of a service can be sent a request.
 	[[nodiscard]] unavailability why_unavailable(const service_id& service, instant now) const;
 
-	/// \brief Answers a caller's request.
-	[[nodiscard]] std::shared_ptr<active_request> handle(request what, std::shared_ptr<response_sink> to);
+	/// \brief Handles a caller's request.
+	[[nodiscard]] std::shared_ptr<active_request> handle(
+		request incoming, std::shared_ptr<response_sink> output);
 
-	/// \brief Whether a replica may be sent a new request: it is neither evacuated nor at rest, and this VM
-	/// has a share left of what it bears.
+	/// \brief Whether a replica can be sent a new request: its failure domain is not evacuated, it has not
+	/// asked this VM to back off, and this VM has some of its share of the replica's cold limit and load
+	/// limit left.
 	[[nodiscard]] bool may_send(const routing::replica& to, instant now) const;
 
-	/// \brief Notes a request for a replica, for its shares and its first request after a rest.
+	/// \brief Records a request sent to a replica, which uses up this VM's shares and may be the first after
+	/// a backoff.
 	void note_sent(const routing::replica& to, instant now);
 
-	/// \brief Sets who is told that there is something to report about a new version.
+	/// \brief Sets the hook that is called when there is new evidence on a version to report to other VMs.
 	void on_evidence(std::function<void()> hook) { evidence_hook_ = std::move(hook); }
 
-	/// \brief Notes a replica's answer for the shift of its service's version.
+	/// \brief Records a response as evidence for the version shift of the replica's service.
 	void note_answer(const routing::replica& from, const rollout::answer_sample& answer);
 
-	/// \brief Notes a replica's word that it leaves.
-	/// \param request Id of the request whose answer said so, for the log.
+	/// \brief Records a replica's statement that it is draining.
+	/// \param request Id of the request whose response said so, for the log.
 	void note_leaving(const routing::replica& from, const std::string& request);
 
-	/// \brief Notes that a replica says something of itself that can't be read.
+	/// \brief Records a malformed statement of a replica.
 	void note_unreadable_statement(const routing::replica& from, const std::string& value);
 
-	/// \brief Replicas' ends, and the requests under which they came.
+	/// \brief Detects exits of replica processes and the requests that ran on them.
 	[[nodiscard]] replica_exit_detector& ends() noexcept { return exit_detector_; }
 
-	/// \brief Requests under which replicas ended.
+	/// \brief Requests during which replica processes exited, and which of them are held, that is, no longer
+	/// sent to any replica.
 	[[nodiscard]] quarantine::suspect_list& suspects() noexcept { return suspects_; }
 
-	/// \brief Whether another request that the next end would hold back runs on a replica, as far as this VM
-	/// knows.
+	/// \brief Whether a replica runs another request that would be held after one more exit, as far as this
+	/// VM knows.
 	[[nodiscard]] bool runs_another_suspect(
-		const routing::replica& at, const quarantine::request_key& than, instant now) const;
+		const routing::replica& target, const quarantine::request_key& excluded_key, instant now) const;
 
-	/// \brief Sets who is told that there is something to report about requests under which replicas ended.
+	/// \brief Sets the hook that is called when there is news on suspected requests to report to other VMs.
 	void on_suspicion(std::function<void()> hook) { suspicion_hook_ = std::move(hook); }
 
-	/// \brief What is believed now, as gauges in the Prometheus text format.
+	/// \brief Writes the current state as metrics in the Prometheus text format.
 	void write_metrics(std::ostream& out, instant now);
 
 	/// \brief The retry budget of a service.
 	[[nodiscard]] limits::attempt_budget& budget(const service_id& service);
 
-	/// \brief How long a service's engines take to their first token.
+	/// \brief Estimator of the time to first token of a service's engines.
 	[[nodiscard]] routing::first_token_time& first_token_times(const service_id& service)
 	{
 		return first_token_times_[service];
@@ -239,12 +248,12 @@
 	[[nodiscard]] request_log& log() noexcept { return log_; }
 
   private:
-	void on_replica_change(const routing::replica& one, routing::replica_change change);
+	void on_replica_change(const routing::replica& instance, routing::replica_change change);
 	void on_evacuation(const failure_domain_id& domain, bool is_evacuated);
-	void note_cold(const routing::replica& one, routing::replica_change change, instant now);
+	void note_cold(const routing::replica& instance, routing::replica_change change, instant now);
 	[[nodiscard]] replica_exit_detector::hooks exit_detector_hooks();
 	void on_replica_exit(
-		const replica_exit& end, bool has_ended, const std::vector<quarantine::process_life>& together);
+		const replica_exit& end, bool has_exited, const std::vector<quarantine::process_life>& correlated);
 	void run_ready_hooks();
 
 	asio::io_context& context_;
@@ -267,7 +276,7 @@
 	std::uint64_t unreadable_statements_ = 0;
 	unknown_statements unknown_names_;
 
-	/// Replicas of which a line told already that they can't be understood.
+	/// Replicas whose malformed statements have been logged already.
 	std::set<replica_id> logged_unreadable_replicas_;
 	rollout::version_shift versions_;
 	routing::size_policy sizes_;
@@ -280,7 +289,7 @@
 	std::vector<std::function<void()>> ready_hooks_;
 	std::optional<instant> stop_started_at_;
 
-	/// VMs of a small deployment.
+	/// Number of VMs in a small deployment.
 	static constexpr unsigned default_vm_count = 6;
 	unsigned vm_count_ = default_vm_count;
 };
--- a/include/gingerdyke/proxy/header_names.hpp
+++ b/include/gingerdyke/proxy/header_names.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Names of the headers that the data path reads, sets and removes; the platform adapter fills them in.
+// Names of the HTTP headers that the data path reads, sets and removes. The platform adapter supplies them.
 #pragma once
 
 #include <string>
@@ -7,66 +7,66 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief Header names of one deployment. A name stands in the case in which it is sent.
+/// \brief Header names of one deployment, in the letter case in which they are sent.
 struct header_names
 {
-	/// Caller's id of the request; replicas repeat it in their answers.
+	/// Request id set by the caller; replicas repeat it in their responses.
 	std::string request_id;
 
-	/// Milliseconds that are left to answer.
+	/// Remaining time to respond, in milliseconds.
 	std::string deadline_ms;
 
-	/// Replica's mark on its answer, returned unchanged.
+	/// Proof that a replica made the response; forwarded unchanged.
 	std::string signature;
 
-	/// Workspace that the caller's key belongs to; only the router sets it.
+	/// Workspace of the caller's API key; only the router sets it.
 	std::string workspace;
 
-	/// Id of the replica that is meant; another one refuses.
+	/// Id of the replica that the request is sent to; any other replica refuses it.
 	std::string target_replica;
 
-	/// Present in an answer where the replica did not run the request.
+	/// Present in a response if the replica did not run the request.
 	std::string not_run;
 
-	/// Id of the replica that answers.
+	/// Id of the responding replica.
 	std::string replica_id;
 
 	std::string model;
 
-	/// Tokens of the prompt, and the most to generate: `PROMPT,GENERATED`.
+	/// Number of prompt tokens and maximum number of generated tokens: `PROMPT,GENERATED`.
 	std::string token_counts;
 
-	/// Parts of the prompt in order: `ID:TOKENS,ID:TOKENS`.
+	/// Segments of the prompt in order: `ID:TOKENS,ID:TOKENS`.
 	std::string prompt_parts;
 
-	/// Rank at an engine, 0 first.
+	/// Scheduling priority at an engine; 0 is the highest.
 	std::string priority;
 
-	/// Model's own confidence in its answer, 0 to 100.
+	/// Confidence of the model in its own answer, 0 to 100.
 	std::string confidence;
 
-	/// Requests a second that a replica in need takes from all VMs together, a decimal number.
+	/// Load limit of an overloaded replica: requests per second from all VMs together, a decimal number.
 	std::string load_limit;
 
-	/// `1` in an answer of a replica that leaves.
+	/// `1` in a response of a replica that is draining.
 	std::string leaving;
 
-	/// Requests of one value belong together.
+	/// Session id: requests with the same value belong together.
 	std::string session;
 
-	/// Where a broken stream goes on.
+	/// Id of the last event received, from which an interrupted stream is resumed.
 	std::string last_event_id;
 
-	/// Scheme of the `Authorization` header.
+	/// Scheme of the `Authorization` header that carries an API key.
 	std::string key_scheme;
 
-	/// Beginnings of headers by which replicas may say something of themselves.
+	/// Prefixes of headers in which replicas may state something about themselves.
 	std::vector<std::string> statement_prefixes;
 
-	/// Headers that begin so and are read, or left unread on purpose.
+	/// Headers with one of these prefixes that are read, or ignored on purpose.
 	std::vector<std::string> known_statements;
 
-	/// Headers that only the router may set, removed from what callers send.
+	/// Headers that only the router may set; they are removed from requests of callers.
 	std::vector<std::string> reserved;
 };
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/listener.hpp
+++ b/include/gingerdyke/proxy/listener.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Accepts callers at one address.
+// Accepts connections of callers on one address.
 #pragma once
 
 #include <gingerdyke/proxy/caller_link.hpp>
@@ -9,27 +9,26 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief Listens at an address and keeps the connections that come.
+/// \brief Listens on an address and keeps track of the accepted connections.
 class listener
 {
   public:
 	listener(asio::io_context& context, std::shared_ptr<const caller_connection_callbacks> callbacks);
 
-	/// \brief Begins to listen.
-	/// \returns What stands against it; none where it listens.
+	/// \brief Starts to listen.
+	/// \returns The error if it cannot listen; otherwise no error.
 	[[nodiscard]] error_code listen(const routing::address& at);
 
-	/// \brief Address in use; useful after listening at port 0.
+	/// \brief The local port; needed after listening on port 0.
 	[[nodiscard]] std::uint16_t port() const;
 
-	/// \brief Closes connections without a request; others close after their answer while the host is
-	/// stopping.
+	/// \brief Closes connections without a request. During a shutdown the others close after their response.
 	void close_idle();
 
-	/// \brief Stops accepting.
+	/// \brief Stops accepting connections.
 	void stop();
 
-	/// \brief Connections with a request under way.
+	/// \brief Number of connections with a request in progress.
 	[[nodiscard]] std::size_t busy() const;
 
   private:
--- a/include/gingerdyke/proxy/message.hpp
+++ b/include/gingerdyke/proxy/message.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Requests and answers as the data path handles them: header fields in order and case, bodies as bytes.
+// HTTP requests and responses of the data path: header fields keep their order and letter case, bodies are
+// bytes.
 #pragma once
 
 #include <gingerdyke/base/finding.hpp>
@@ -10,7 +11,7 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief One header field as it came.
+/// \brief One header field as received.
 struct header_field
 {
 	std::string name;
@@ -19,20 +20,20 @@
 
 using header_fields = std::vector<header_field>;
 
-/// \brief Compares header names and tokens: ASCII, without regard to case.
+/// \brief Compares header names and tokens: ASCII, case-insensitive.
 [[nodiscard]] bool equals_ignore_case(std::string_view a, std::string_view b) noexcept;
 
-/// \brief Value of the first field of a name, or null.
+/// \brief Value of the first field with a name; null if there is none.
 [[nodiscard]] const std::string* find_field(const header_fields& fields, std::string_view name) noexcept;
 
-/// \brief Whether a comma-separated list holds a token.
+/// \brief Whether a comma-separated list contains a token.
 [[nodiscard]] bool has_token(std::string_view list, std::string_view token) noexcept;
 
-/// \brief Fields that are meant for the next hop but one: without those of a single connection and those that
-/// the `Connection` header names. Framing is left to whoever sends the message on.
+/// \brief Returns the end-to-end fields: without hop-by-hop fields, without those that the `Connection`
+/// header names, and without `Content-Length`. The sender of the forwarded message adds framing.
 [[nodiscard]] header_fields without_hop_by_hop_fields(const header_fields& fields);
 
-/// \brief A caller's request, whole.
+/// \brief A complete request of a caller.
 struct request
 {
 	std::string method;
@@ -40,13 +41,13 @@
 	header_fields fields;
 	std::string body;
 
-	/// The caller speaks HTTP/1.1 and not 1.0.
+	/// The request is HTTP/1.1, not HTTP/1.0.
 	bool is_http_11{true};
 
-	/// The connection may be used for another request afterwards.
+	/// The connection may carry further requests.
 	bool keep_alive{true};
 
-	/// \brief The target without its query.
+	/// \brief The target without its query string.
 	[[nodiscard]] std::string_view path() const noexcept;
 
 	[[nodiscard]] const std::string* find(std::string_view name) const noexcept
@@ -55,17 +56,17 @@
 	}
 };
 
-/// \brief The head of a replica's answer.
+/// \brief Status line and headers of a replica's response.
 struct response_head
 {
 	int status{};
 	std::string reason;
 	header_fields fields;
 
-	/// Length of the body where it was stated.
+	/// Length of the body, if stated.
 	std::optional<std::uint64_t> length;
 
-	/// The body ends with the connection.
+	/// The body ends when the connection closes.
 	bool ends_with_connection{};
 
 	[[nodiscard]] const std::string* find(std::string_view name) const noexcept
@@ -74,23 +75,24 @@
 	}
 };
 
-/// \brief Checks the raw bytes of a header block before they are parsed: what two parsers may read in two
-/// ways is refused. \param block The block with its closing empty line. \returns Nothing, or what is wrong
-/// with it.
+/// \brief Validates the raw bytes of a header block before it is parsed. Rejects whatever two parsers may
+/// interpret differently, to prevent request smuggling.
+/// \param block The header block including the empty line that ends it.
+/// \returns What is wrong with it; none if it is valid.
 [[nodiscard]] std::optional<std::string> find_header_fault(std::string_view block);
 
-/// \brief Writes a request for a replica.
+/// \brief Serializes a request to a replica.
 /// \param fields End-to-end fields; framing is added here.
-[[nodiscard]] std::string serialize_request(const request& what, const header_fields& fields);
+[[nodiscard]] std::string serialize_request(const request& outgoing, const header_fields& fields);
 
-/// \brief Writes the head of an answer.
+/// \brief Serializes the status line and headers of a response.
 /// \param framing Fields that frame the body, such as `Content-Length`.
 [[nodiscard]] std::string write_head(
 	int status, std::string_view reason, const header_fields& fields, const header_fields& framing);
 
-/// \brief Writes one chunk of a chunked body.
+/// \brief Serializes one chunk of a chunked body.
 [[nodiscard]] std::string write_chunk(std::string_view bytes);
 
-/// \brief The usual reason phrase of a status.
+/// \brief The standard reason phrase of a status code.
 [[nodiscard]] std::string_view reason_phrase(int status) noexcept;
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/prompt.hpp
+++ b/include/gingerdyke/proxy/prompt.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What a request tells about its prompt: its size, and the parts that it shares with others.
+// Size of a request's prompt, and the prefix that it shares with other prompts.
 #pragma once
 
 #include <cstdint>
@@ -7,32 +7,31 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief Size and shared parts of a prompt.
+/// \brief Size and shared prefix of a prompt.
 struct prompt
 {
-	/// Tokens to read; 0 where the request does not say.
+	/// Tokens of the prompt; 0 if not stated.
 	double input_tokens{};
 
-	/// Most tokens to generate; 0 where the request does not say.
+	/// Maximum number of tokens to generate; 0 if not stated.
 	double max_output_tokens{};
 
-	/// Tokens of all parts but the last.
+	/// Tokens of all segments but the last.
 	double prefix_tokens{};
 
-	/// Hash of all parts but the last, which is the request's own; 0: nothing is shared.
+	/// Hash of all segments but the last, which only this request has; 0 if there is no shared prefix.
 	std::uint64_t prefix_hash{};
 
-	/// \brief Tokens that an engine is expected to read: about half of the shared parts are kept where the
-	/// prompt goes.
+	/// \brief Tokens that an engine is expected to prefill: about half of the shared prefix is in the cache
+	/// of the engine that the prompt is routed to.
 	[[nodiscard]] double expected_prefill_tokens() const noexcept
 	{
 		constexpr double cached_share = 0.5;
 		return input_tokens - cached_share * prefix_tokens;
 	}
 
-	/// \brief Work that it is for an engine to generate the answer, in tokens read. A token of one of many
-	/// answers in a batch takes as long as a few tokens read, and callers state a few times as many as are
-	/// generated.
+	/// \brief Work to generate the answer, in units of one prefilled token. In a batch, generating a token
+	/// takes as long as prefilling a few, but callers state a few times as many tokens as are generated.
 	[[nodiscard]] double decode_work() const noexcept
 	{
 		constexpr double output_token_weight = 1;
@@ -40,8 +39,8 @@
 	}
 };
 
-/// \brief Reads the headers that describe a prompt; what can't be read counts as not stated.
-/// \param token_counts `READ,GENERATED`, or null.
+/// \brief Parses the headers that describe a prompt. Malformed values count as not stated.
+/// \param token_counts `PROMPT,GENERATED`, or null.
 /// \param parts `ID:TOKENS,ID:TOKENS`, or null.
 [[nodiscard]] prompt read_prompt(const std::string* token_counts, const std::string* parts);
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/replica_end_watch.hpp
+++ b/include/gingerdyke/proxy/replica_end_watch.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Finds out that a replica's process has ended, and under which requests.
+// Detects that a replica's process has exited, and which requests ran on it.
 #pragma once
 
 #include <gingerdyke/proxy/asio.hpp>
@@ -10,7 +10,7 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief A replica's end, and the requests that ran there.
+/// \brief The exit of a replica's process, and the requests that ran on it.
 struct replica_exit
 {
 	routing::replica_ptr replica;
@@ -21,54 +21,57 @@
 /// \brief Tuning of `replica_exit_detector`.
 struct replica_exit_tuning
 {
-	/// Ends within this time of each other have a cause in common where there are so many: a request that
-	/// ends replicas is sent to one after the other. The replicas of a rack that lost power were all missed
-	/// within 15 ms on a quiet network.
+	/// Exits within this window have a common cause if there are at least `min_correlated` of them: a request
+	/// that crashes replicas is sent to one after the other. When a rack lost power, all its replicas were
+	/// missed within 15 ms on a quiet network.
 	duration correlation_window = std::chrono::milliseconds{200};
 	std::size_t min_correlated = 3;
 
-	/// A replica that has not taken a connection after this time is not known to have ended: a network that
-	/// is cut does the same. One whose process is gone refuses within a round trip.
+	/// Timeout of the probe connection. If it expires, the process is not known to have exited, as a network
+	/// partition looks the same. The host of a process that has exited refuses the connection within one
+	/// round trip.
 	duration connect_timeout = std::chrono::milliseconds{400};
 };
 
-/// \brief Watches the replicas that this VM's requests run on. A broken answer alone says little: replicas
-/// break some off and live on. One more connection tells: where it is refused, the process has ended.
+/// \brief Watches the replicas on which this VM's requests run. An aborted response alone is no proof of an
+/// exit, as replicas abort some and keep running. Therefore a probe connection is opened: if it is refused,
+/// the process has exited.
 class replica_exit_detector
 {
   public:
-	/// \brief Told of an end that is likely, before it is known, and then whether it was one.
+	/// \brief Called for a presumed exit, and then with whether it was one.
 	struct hooks
 	{
 		std::function<void(const replica_exit&)> presumed;
 
-		/// \param correlation_window Lives that ended, or probably did, at the same time; empty: it came alone.
+		/// \param correlated Process lives that exited or are presumed to have exited at the same time; empty
+		/// if this exit was a single one.
 		std::function<void(
-			const replica_exit&, bool has_exited, const std::vector<quarantine::process_life>& correlation_window)>
+			const replica_exit&, bool has_exited, const std::vector<quarantine::process_life>& correlated)>
 			resolved;
 	};
 
-	replica_exit_detector(asio::io_context& context, hooks told, replica_exit_tuning tuning = {});
+	replica_exit_detector(asio::io_context& context, hooks callbacks, replica_exit_tuning tuning = {});
 
-	/// \brief Notes that an answer of a replica broke off, or did not begin.
-	void note_broken_response(const routing::replica_ptr& at, instant now);
+	/// \brief Records that a replica's response was cut off or did not start.
+	void note_broken_response(const routing::replica_ptr& target, instant now);
 
-	/// \brief Notes that a replica refused a connection.
-	void note_refused_connection(const routing::replica_ptr& at, instant now);
+	/// \brief Records that a replica refused a connection.
+	void note_refused_connection(const routing::replica_ptr& target, instant now);
 
-	/// \brief Calls a hook once, after the next end is settled.
+	/// \brief Calls a hook once, after the next presumed exit is resolved.
 	void when_resolved(std::function<void()> hook) { resolved_hooks_.push_back(std::move(hook)); }
 
-	/// \brief The runs that are watched.
+	/// \brief The runs of requests on replicas.
 	[[nodiscard]] quarantine::replica_runs& runs() noexcept { return runs_; }
 	[[nodiscard]] const quarantine::replica_runs& runs() const noexcept { return runs_; }
 
   private:
 	struct probe;
 
-	[[nodiscard]] std::optional<replica_exit> presume(const routing::replica_ptr& at, instant now);
-	void begin_probe(const replica_exit& exit);
-	void resolve(const replica_exit& exit, bool has_exited);
+	[[nodiscard]] std::optional<replica_exit> presume(const routing::replica_ptr& target, instant now);
+	void begin_probe(const replica_exit& exited);
+	void resolve(const replica_exit& exited, bool has_exited);
 	[[nodiscard]] std::vector<quarantine::process_life> correlated_lives(instant now);
 
 	asio::io_context& context_;
@@ -82,14 +85,14 @@
 		instant at;
 	};
 
-	/// Ends, likely ones too, of the last moments.
+	/// Recent exits, including presumed ones.
 	std::vector<recent_exit> recent_exits_;
 	std::vector<std::function<void()>> resolved_hooks_;
 
-	/// Lives for which a probe is under way.
+	/// Process lives for which a probe is in progress.
 	std::set<quarantine::process_life> probed_lives_;
 
-	/// Probes that outlive this object find it gone.
+	/// Lets the handler of a probe detect that this object was destroyed.
 	std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/replica_statements.hpp
+++ b/include/gingerdyke/proxy/replica_statements.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What a replica says of itself in the head of an answer.
+// Statements of a replica about itself in the headers of a response.
 #pragma once
 
 #include <gingerdyke/base/units.hpp>
@@ -11,30 +11,33 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief What the head of an answer says of the replica that gave it.
+/// \brief Statements of a replica in one response head.
 struct replica_statements
 {
-	/// Requests a second that it takes from all VMs together; none: it names no limit.
+	/// Load limit, in requests per second from all VMs together; none if it announces none.
 	std::optional<double> load_limit;
 
-	/// It names a limit, and none that can be read: what was known of one holds on.
+	/// It announces a load limit, but no value of it is valid: a limit known before stays in force.
 	bool has_unreadable_limit{};
 
-	/// It leaves, and takes no new work.
+	/// It is draining and accepts no new work.
 	bool is_draining{};
 
-	/// It refuses the request and wants nothing from this VM for so long; none: it does not say.
+	/// It refused the request and asks this VM to send nothing for this time; none if it does not ask for
+	/// that.
 	std::optional<duration> backoff;
 
-	/// A value that can't be read, for the log; empty: there is none. It changes nothing that was known.
+	/// A malformed value, for the log; empty if there is none. It does not change what is known of the
+	/// replica.
 	std::string unreadable;
 
-	/// Names of headers that may say something of it and are not known.
+	/// Names of headers that have a prefix of statements but are not known.
 	std::vector<std::string> unknown;
 };
 
-/// \brief Reads what a replica says of itself. Of several limits the lowest counts, of several rests the
-/// longest. \param time_of_day For rests that are told as a date.
+/// \brief Parses the statements of a replica. Of several load limits the lowest counts, of several backoff
+/// times the longest.
+/// \param time_of_day Current time, for a `Retry-After` that is a date.
 [[nodiscard]] replica_statements read_statements(
 	const response_head& head, const header_names& names, std::chrono::system_clock::time_point time_of_day);
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/request_log.hpp
+++ b/include/gingerdyke/proxy/request_log.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One line for each request that matters, bounded in volume: failures before successes.
+// Logs how requests ended, within a rate limit: successes are sampled, failures are not.
 #pragma once
 
 #include <gingerdyke/base/ids.hpp>
@@ -11,69 +11,70 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief How a request ended, as far as its caller is concerned.
+/// \brief How a request ended from its caller's point of view.
 enum class request_outcome
 {
 	served,
-	/// Answered by a replica, with a failure.
+	/// A replica responded with a failure.
 	failed_by_replica,
-	/// Refused here; nothing ran.
+	/// Refused by the router; no replica ran it.
 	refused,
-	/// Given up here after something may have run.
+	/// Failed by the router after a replica may have run it.
 	failed,
-	/// A stream that had begun and could not be ended.
+	/// A stream that started but could not be completed.
 	broken_off,
-	/// The caller left.
+	/// The caller disconnected.
 	abandoned,
 };
 
-/// \brief The word for an outcome.
+/// \brief Name of an outcome, as logs and metrics show it.
 [[nodiscard]] const char* name_of(request_outcome outcome) noexcept;
 
-/// \brief What decided whether an answer was given up for a larger model's.
+/// \brief Inputs of the decision whether to escalate from a smaller model's answer to a larger model.
 struct escalation_choice
 {
-	/// Confidence of the smaller model's answer, and the one below which it is given up.
+	/// Confidence of the smaller model's answer, and the threshold below which it is discarded.
 	double confidence{};
 	double threshold{};
 
-	/// When the larger model's first token was expected, from the request's arrival.
+	/// Expected time from the request's arrival to the larger model's first token.
 	duration expected{};
 };
 
-/// \brief What a line tells about one request.
+/// \brief Log record of one request.
 struct request_record
 {
 	std::string id;
 
-	/// Key of its content, the same for each repeat.
+	/// Hash of the request's content, the same for each repetition.
 	std::string content_key;
 	std::string route;
 	std::string workspace;
 	std::string replica;
 
-	/// Software version of that replica.
+	/// Software version of the replica.
 	std::string version;
 	std::string model;
 	request_outcome outcome{request_outcome::served};
 	int status{};
 
-	/// Why it ended so, in a few words; the same words for the same reason.
+	/// Short reason of the outcome, always the same text for the same reason.
 	std::string reason;
 	unsigned attempts{};
 	duration elapsed{};
 
-	/// From arrival to the first byte passed on.
+	/// Time from arrival to the first byte sent to the caller.
 	duration first_byte{};
 
-	/// None where there was no choice.
+	/// None if there was no such decision.
 	std::optional<escalation_choice> escalation;
 
-	/// Version of the configuration that decided, and how long ago it was confirmed.
+	/// Version of the configuration that applied, and the time since it was confirmed.
 	std::int64_t config_version{};
 	duration config_age{};
 
-	/// How long ago the table of replicas was confirmed, and whether the last replica's entry was missing.
+	/// Time since the table of replicas was confirmed, and whether the last replica's entry was missing from
+	/// it.
 	duration replicas_age{};
 	bool replica_is_suspected{};
 };
@@ -81,15 +82,15 @@
 /// \brief Tuning of `request_log`.
 struct request_log_tuning
 {
-	/// One in so many served requests is logged; all others are, within the rate.
+	/// One in this many served requests is logged; all others are logged as far as the rate allows.
 	unsigned served_sample = 20;
 
-	/// Lines a second, and lines at once.
+	/// Lines per second, and size of a burst of lines.
 	double rate = 40;
 	double burst = 80;
 };
 
-/// \brief Counts how requests end, and logs them within a rate.
+/// \brief Counts requests by outcome and logs them within a rate limit.
 class request_log
 {
   public:
@@ -97,7 +98,7 @@
 
 	void note(const request_record& record, instant now);
 
-	/// \brief Requests that ended so.
+	/// \brief Number of requests with an outcome.
 	[[nodiscard]] std::uint64_t count(request_outcome outcome) const
 	{
 		return metrics_.count(name_of(outcome));
--- a/include/gingerdyke/proxy/request_metrics.hpp
+++ b/include/gingerdyke/proxy/request_metrics.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Counters of how requests end, and histograms of their times for each workspace and each route.
+// Counters of requests by outcome, and latency histograms by workspace and by route.
 #pragma once
 
 #include <gingerdyke/base/units.hpp>
@@ -12,17 +12,17 @@
 {
 struct request_record;
 
-/// \brief Counts requests. Times are of requests that a replica answered: what is refused here takes no time
-/// that says anything.
+/// \brief Request metrics. Latencies are recorded only for requests with a response from a replica: the time
+/// of a refusal by the router says nothing about the service.
 class request_metrics
 {
   public:
 	void note(const request_record& record);
 
-	/// \brief Requests that ended so; see `name_of(request_outcome)`.
+	/// \brief Number of requests with an outcome; see `name_of(request_outcome)`.
 	[[nodiscard]] std::uint64_t count(const std::string& outcome) const;
 
-	/// \brief Everything in the Prometheus text format.
+	/// \brief Writes all metrics in the Prometheus text format.
 	void write(std::ostream& out) const;
 
   private:
--- a/include/gingerdyke/proxy/response_sink.hpp
+++ b/include/gingerdyke/proxy/response_sink.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Where an answer to a caller goes, and how a request in progress is told that its caller has left.
+// Interface through which a response is written to a caller, and through which a request in progress is
+// cancelled.
 #pragma once
 
 #include <functional>
@@ -10,7 +11,7 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief A whole answer.
+/// \brief A complete response, with its whole body.
 struct response
 {
 	int status{};
@@ -19,38 +20,40 @@
 	std::string body;
 };
 
-/// \brief Takes one answer: either `send`, or `begin` with `pass` and then `end` or `break_off`.
+/// \brief Writes one response: either `send`, or `send_head`, any number of `write_body`, and then
+/// `end_stream` or `abort_stream`.
 class response_sink
 {
   public:
 	virtual ~response_sink() = default;
 
-	/// \brief Sends a whole answer.
-	virtual void send(response answer) = 0;
+	/// \brief Sends a complete response.
+	virtual void send(response complete_response) = 0;
 
-	/// \brief Begins an answer whose length is not known.
+	/// \brief Sends the head of a response whose length is not known in advance.
 	virtual void send_head(int status, std::string_view reason, const header_fields& fields) = 0;
 
-	/// \brief Passes bytes of the body on at once.
+	/// \brief Writes a part of the body without buffering it.
 	virtual void write_body(std::string_view bytes) = 0;
 
-	/// \brief Ends the answer as complete.
+	/// \brief Ends the response as complete.
 	virtual void end_stream() = 0;
 
-	/// \brief Ends the answer so that the caller sees that it is not complete.
+	/// \brief Ends the response in such a way that the caller can tell that it is truncated.
 	virtual void abort_stream() = 0;
 };
 
-/// \brief A request being answered.
+/// \brief A request in progress.
 class active_request
 {
   public:
 	virtual ~active_request() = default;
 
-	/// \brief The caller has left: stop all work for it.
+	/// \brief Called when the caller has disconnected: stops all work on the request.
 	virtual void cancel() = 0;
 };
 
-/// \brief Answers requests: at once, or later through the sink.
-using request_handler = std::function<std::shared_ptr<active_request>(request, std::shared_ptr<response_sink>)>;
+/// \brief Handles a request. The response is written to the sink, during the call or later.
+using request_handler =
+	std::function<std::shared_ptr<active_request>(request, std::shared_ptr<response_sink>)>;
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/stream_pace.hpp
+++ b/include/gingerdyke/proxy/stream_pace.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The time between a stream's first two events, which tells an engine's pace.
+// Measures the interval between the first two events of a stream, as an estimate of the engine's generation
+// speed.
 #pragma once
 
 #include <cstddef>
@@ -8,14 +9,14 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief Measures one stream. One sample a stream, early: the whole of a slow stream would be measured late,
-/// or never.
+/// \brief Measures one stream. Each stream gives one early sample: an average over a whole slow stream would
+/// be known late or never.
 class stream_pace
 {
   public:
-	/// \brief Notes that events came.
-	/// \returns The time between the first two, where it is known by these; events that come together tell
-	/// nothing.
+	/// \brief Records the arrival of events.
+	/// \returns The interval between the first two events, once it is known. Events that arrive together give
+	/// no sample.
 	[[nodiscard]] std::optional<duration> note_events(std::size_t count, instant now)
 	{
 		if (count == 0 || is_measured_)
@@ -31,8 +32,8 @@
 		return count == 1 ? std::optional{now - *first_at_} : std::nullopt;
 	}
 
-	/// \brief Notes that the stream was given up, since nothing came for long.
-	/// \returns The time since the first event, where no second one came.
+	/// \brief Records that the stream was abandoned because no event arrived in time.
+	/// \returns The time since the first event if no second one has arrived.
 	[[nodiscard]] std::optional<duration> note_abandoned(instant now)
 	{
 		if (is_measured_ || !first_at_)
--- a/include/gingerdyke/proxy/timer.hpp
+++ b/include/gingerdyke/proxy/timer.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Timers of the event loop that notice that the machine was suspended.
+// Event-loop timers that take the time during which the machine was suspended into account.
 #pragma once
 
 #include <algorithm>
@@ -10,12 +10,13 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief How long the event loop waits for a timer before it looks at the clock again. The system's own wait
-/// leaves suspensions out: a limit that fell into one would be noticed by its length too late.
+/// \brief Bounds how long the event loop waits before it reads the clock again. The kernel's wait does not
+/// count suspended time, so a timer that expired during a suspension would fire late by the length of the
+/// suspension.
 struct bounded_wait
 {
-	/// A VM that wakes up has noticed everything that is overdue after this time, well within the users' 3 s.
-	/// On a VM without requests it costs two wake-ups a second.
+	/// After a resume, expired timers fire within this time, well within the 3 s that the users require. It
+	/// costs two wake-ups per second on an idle VM.
 	static constexpr boot_clock::duration max_wait = std::chrono::milliseconds{500};
 
 	[[nodiscard]] static boot_clock::duration to_wait_duration(const boot_clock::duration& left)
--- a/include/gingerdyke/proxy/unknown_statements.hpp
+++ b/include/gingerdyke/proxy/unknown_statements.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Statements of replicas, their entries and operators that this program does not know, so that a new one is
-// seen on the day on which it begins.
+// Counts statements with unknown names in response headers, registry entries and operator rows, and reports
+// each new name as soon as it appears.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +11,10 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief Where a statement stood.
+/// \brief Where a statement was found.
 enum class statement_source
 {
-	/// Header of a replica's answer.
+	/// Header of a replica's response.
 	answer,
 	/// Field of a replica's entry in the registry.
 	replica_entry,
@@ -22,22 +22,24 @@
 	operator_row,
 };
 
-/// \brief The word for a source.
+/// \brief Name of a source, as logs show it.
 [[nodiscard]] const char* name_of(statement_source source) noexcept;
 
-/// \brief Counts statements that are not known, and tells of each name once.
+/// \brief Counts statements with unknown names and reports each name once.
 class unknown_statements
 {
   public:
-	/// \brief Told of a name that was not seen before, and who made the statement.
-	using new_name_hook = std::function<void(statement_source, const std::string& name, const std::string& sender)>;
+	/// \brief Called with a name that was not seen before, and the sender of the statement.
+	using new_name_hook =
+		std::function<void(statement_source, const std::string& name, const std::string& sender)>;
 
 	explicit unknown_statements(new_name_hook on_new_name) : new_name_hook_(std::move(on_new_name)) {}
 
-	/// \brief Notes one statement. Names beyond a number, and the ends of long ones, are only counted.
+	/// \brief Counts one statement. The number of names that are reported and the length of a name are
+	/// bounded; statements beyond that are only counted.
 	void note(statement_source source, std::string_view name, const std::string& sender);
 
-	/// \brief Statements noted so far.
+	/// \brief Number of statements so far.
 	[[nodiscard]] std::uint64_t count() const noexcept { return count_; }
 
   private:
--- a/include/gingerdyke/proxy/upstream_link.hpp
+++ b/include/gingerdyke/proxy/upstream_link.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One connection to a replica: a request at a time, its answer as it comes.
+// An HTTP/1.1 connection to a replica: one request at a time, with a streamed response.
 #pragma once
 
 #include <functional>
@@ -12,28 +12,29 @@
 
 namespace gingerdyke::proxy
 {
-/// \brief How an attempt broke.
+/// \brief How an attempt failed.
 enum class upstream_fault
 {
-	/// No connection came up: the request has not left.
+	/// The connection could not be established; the request was not sent.
 	not_connected,
-	/// The same, by the replica's own refusal: nobody listens at its address.
+	/// The same, because the connection was refused: no process listens on the replica's address.
 	connect_refused,
-	/// The connection ended before the answer's head was whole.
+	/// The connection ended before the response head was complete.
 	no_response,
-	/// The connection ended in the middle of the answer.
+	/// The connection ended in the middle of the response.
 	truncated_response,
-	/// What came is no answer to this request.
+	/// The received data is no valid response to this request.
 	invalid_response,
 };
 
-/// \brief The word for a fault.
+/// \brief Name of a fault, as logs and callers see it.
 [[nodiscard]] const char* name_of(upstream_fault fault) noexcept;
 
-/// \brief What a link tells about the request that it carries. After `on_end` or `on_fault` nothing follows.
+/// \brief Callbacks for the request that a connection carries. Nothing follows `response_completed` or
+/// `request_failed`.
 struct upstream_callbacks
 {
-	/// The connection is up and the request leaves next, unless the link is closed here.
+	/// The connection is established. The request is sent next, unless the callback closes the connection.
 	std::function<void()> connection_opened;
 	std::function<void(response_head)> head_received;
 	std::function<void(std::string_view bytes)> body_received;
@@ -41,48 +42,50 @@
 	std::function<void(upstream_fault)> request_failed;
 };
 
-/// \brief A request on its way to a replica.
+/// \brief A request to a replica.
 struct upstream_request
 {
-	/// The whole request as bytes.
+	/// The serialized request.
 	std::string bytes;
 
-	/// Id that the answer must repeat.
+	/// Request id that the response must repeat.
 	std::string id;
 
-	/// The answer has no body whatever its head says.
+	/// Response to a `HEAD` request: it has no body, whatever its headers say.
 	bool is_head{};
 
-	/// How long its bytes may stay unacknowledged before the connection counts as broken.
+	/// How long sent bytes may stay unacknowledged before the connection is dropped.
 	duration unacknowledged_timeout = std::chrono::seconds{3};
 };
 
-/// \brief One connection to a replica.
+/// \brief A connection to a replica.
 class upstream_connection : public std::enable_shared_from_this<upstream_connection>
 {
   public:
-	/// \param id_field Name of the header in which answers repeat the request's id.
+	/// \param id_field Name of the header in which responses repeat the request id.
 	upstream_connection(asio::io_context& context, routing::replica_ptr to, std::string id_field);
 
-	/// \brief Sends a request; connects first where needed. Only while no other request is under way.
-	void send(upstream_request what, upstream_callbacks callbacks);
+	/// \brief Sends a request, after connecting if necessary. Must not be called while another request is in
+	/// progress.
+	void send(upstream_request outgoing, upstream_callbacks callbacks);
 
-	/// \brief Closes the connection; no hook is called any more. A replica stops work at that.
+	/// \brief Closes the connection; no callback is called any more. The replica then stops working on the
+	/// request.
 	void close();
 
-	/// \brief Told when an idle connection ends; the pool's.
+	/// \brief Sets the hook that is called when the connection closes while idle; for the pool.
 	void on_idle_close(std::function<void()> hook) { idle_close_hook_ = std::move(hook); }
 
-	/// \brief Whether another request may be sent after the answer that just ended.
+	/// \brief Whether another request may be sent after the response that was just completed.
 	[[nodiscard]] bool reusable() const noexcept { return reusable_; }
 
-	/// \brief A request was answered on it before.
+	/// \brief Whether the connection has carried a complete response before.
 	[[nodiscard]] bool was_used() const noexcept { return responses_ > 0; }
 
-	/// \brief How long the replica keeps an idle connection, where it says so.
+	/// \brief How long the replica keeps an idle connection open (`Keep-Alive`); none if not stated.
 	[[nodiscard]] std::optional<duration> keep_alive_time() const noexcept { return keep_alive_; }
 
-	[[nodiscard]] const routing::replica_ptr& target() const noexcept { return to_; }
+	[[nodiscard]] const routing::replica_ptr& target() const noexcept { return target_; }
 
   private:
 	using parser = beast::http::response_parser<beast::http::string_body>;
@@ -101,13 +104,13 @@
 	void read_keep_alive(const header_fields& fields);
 
 	asio::io_context& context_;
-	routing::replica_ptr to_;
+	routing::replica_ptr target_;
 	std::string id_field_;
 	tcp::socket socket_;
 	beast::flat_buffer buffer_;
 	std::optional<parser> parser_;
 	upstream_request request_;
-	/// Shared, so that a hook may close the link that calls it.
+	/// Shared, so that a callback may close the connection that calls it.
 	std::shared_ptr<const upstream_callbacks> callbacks_;
 	std::function<void()> idle_close_hook_;
 	std::optional<duration> keep_alive_;
@@ -118,7 +121,7 @@
 	bool request_written_ = false;
 	bool head_delivered_ = false;
 
-	/// The answer being read is a late one to an earlier request.
+	/// The response being read is a late one to an earlier request.
 	bool skipping_stale_response_ = false;
 	bool reusable_ = false;
 };
--- a/include/gingerdyke/proxy/upstream_pool.hpp
+++ b/include/gingerdyke/proxy/upstream_pool.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Connections to replicas: kept for reuse, within this VM's share of what each replica accepts.
+// Pool of connections to replicas.
 #pragma once
 
 #include <gingerdyke/proxy/upstream_link.hpp>
@@ -11,38 +11,38 @@
 /// \brief Tuning of `upstream_pool`.
 struct pool_tuning
 {
-	/// Part of the time for which a replica says it keeps an idle connection that is used here: whole seconds
-	/// are stated, and a request may be on the way when the time is over.
+	/// Fraction of a replica's stated keep-alive time after which an idle connection is no longer reused:
+	/// replicas state whole seconds, and a request may be in flight when the time expires.
 	double keep_alive_factor = 0.6;
 
-	/// An idle connection older than this carries only requests that may run again: a replica may have
-	/// dropped it silently.
+	/// A connection that was idle for longer carries only repeatable requests: the replica may have dropped
+	/// it silently.
 	duration max_trusted_idle = std::chrono::seconds{1};
 };
 
-/// \brief Keeps connections by replica.
+/// \brief Pools connections by replica.
 class upstream_pool
 {
   public:
-	/// \param id_field Name of the header in which answers repeat the request's id.
+	/// \param id_field Name of the header in which responses repeat the request id.
 	upstream_pool(asio::io_context& context, std::string id_field, pool_tuning tuning = {});
 
-	/// \brief A connection to a replica: an idle one, else a new one.
-	/// \param may_run_again The request may be sent again where the connection turns out to be dead.
+	/// \brief Returns an idle connection to a replica, or else a new one.
+	/// \param may_run_again Whether the request may be sent again if the connection turns out to be dead.
 	[[nodiscard]] std::shared_ptr<upstream_connection> acquire(
 		const routing::replica_ptr& to, bool may_run_again, instant now);
 
-	/// \brief Takes back a connection whose request is over; keeps it where it may be used again.
+	/// \brief Returns a connection whose request has ended. It is kept if it can be reused.
 	void release(const std::shared_ptr<upstream_connection>& connection, instant now);
 
-	/// \brief Connections to a replica, idle and in use.
+	/// \brief Number of connections to a replica, idle and in use.
 	[[nodiscard]] unsigned connection_count(const replica_id& id) const;
 
-	/// \brief Idle connections to a replica.
+	/// \brief Number of idle connections to a replica.
 	[[nodiscard]] std::size_t idle_count(const replica_id& id) const;
 
-	/// \brief Closes idle connections to a replica that is gone or started again; those in use are closed
-	/// when they are given back.
+	/// \brief Closes the idle connections to a replica that is gone or has restarted; those in use are closed
+	/// when they are released.
 	void close_idle_connections(const replica_id& id);
 
   private:
@@ -54,15 +54,15 @@
 
 	struct entry
 	{
-		/// The process that the connections lead to.
+		/// The replica process that the connections lead to.
 		routing::replica_incarnation incarnation;
 		std::vector<idle_connection> idle_connections;
 		unsigned in_use{};
 	};
 
 	[[nodiscard]] entry& entry_of(const routing::replica& to);
-	static void close_idle(entry& of);
-	[[nodiscard]] bool is_usable(const idle_connection& one, bool may_run_again, instant now) const;
+	static void close_idle(entry& target_entry);
+	[[nodiscard]] bool is_usable(const idle_connection& candidate, bool may_run_again, instant now) const;
 	void remove_idle(const replica_id& id, const upstream_connection* connection);
 
 	asio::io_context& context_;
--- a/src/proxy/asio.cpp
+++ b/src/proxy/asio.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Options of sockets.
+// Socket options.
 #include <gingerdyke/proxy/asio.hpp>
 #include <netinet/tcp.h>
 
@@ -7,18 +7,19 @@
 {
 namespace
 {
-/// Seconds of silence before a connection is probed, between probes, and probes until it is given up. A peer
-/// that is silently gone is noticed within 3 s: two probes, since one may be lost on the way.
+/// Seconds of silence before keep-alive probes start, interval between them, and number of unanswered probes
+/// after which the connection is dropped. An unreachable peer is detected within 3 s; there are two probes,
+/// since one may be lost.
 constexpr int keep_alive_idle_s = 1;
 constexpr int keep_alive_interval_s = 1;
 constexpr int keep_alive_probe_count = 2;
 
-/// Time that sent bytes may stay unacknowledged, in general: as long as the probes take.
+/// Default time that sent bytes may stay unacknowledged: as long as the keep-alive probes take.
 constexpr unsigned unacknowledged_timeout_ms = 3000;
 
 void set_tcp_option(tcp::socket& socket, int name, int value)
 {
-	// What the kernel does not know only makes a dead peer be noticed later.
+	// If the kernel lacks an option, an unreachable peer is only detected later.
 	static_cast<void>(::setsockopt(socket.native_handle(), IPPROTO_TCP, name, &value, sizeof(value)));
 }
 } // namespace
--- a/src/proxy/caller_link.cpp
+++ b/src/proxy/caller_link.cpp
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: MIT
-// One connection of a caller.
+// A caller's HTTP connection.
 #include <gingerdyke/proxy/caller_link.hpp>
 
 namespace gingerdyke::proxy
 {
 namespace
 {
-/// Bytes asked for by one read. Each connection holds as many, idle ones too.
+/// Buffer size of one read. Every connection, even an idle one, holds a buffer of this size.
 constexpr std::size_t read_size = 4096;
 
-/// Bytes of further requests that are taken in while one is answered; beyond them the caller has to wait.
+/// Bytes of pipelined requests that are read while a response is in progress; beyond that, reading pauses.
 constexpr std::size_t max_pipelined_bytes = 65536;
 
-/// Bytes that may wait to be written to a caller. One that reads slower than its answer comes is given up
-/// beyond them: the users' largest answers have a few thousand bytes, and a VM has 160 MB.
+/// Maximum size of unsent output. A caller that reads more slowly than its response arrives is disconnected
+/// beyond it: the users' largest responses have a few thousand bytes, and a VM has 160 MB of memory.
 constexpr std::size_t max_pending_bytes = 4U << 20U;
 
-/// A caller that has its last answer gets this long to close; then the connection is closed here.
+/// After its last response a caller has this long to close the connection before it is closed here.
 constexpr duration close_timeout = std::chrono::seconds{1};
 
 constexpr int bad_request = 400;
@@ -29,7 +29,7 @@
 	return {static_cast<const char*>(buffer.data().data()), buffer.size()};
 }
 
-/// Position after the empty line that ends a header block; none where it is not there yet.
+/// Position after the empty line that ends a header block; none if it has not arrived yet.
 std::optional<std::size_t> find_header_end(std::string_view bytes)
 {
 	const auto crlf = bytes.find("\r\n\r\n");
@@ -37,13 +37,14 @@
 	{
 		return crlf + 4;
 	}
-	// A block of bare line feeds is found as well, to be refused at once.
+	// A block with bare line feeds is also found, so that it is rejected immediately.
 	const auto bare = bytes.find("\n\n");
 	return bare == std::string_view::npos ? std::nullopt : std::optional{bare + 2};
 }
 } // namespace
 
-caller_connection::caller_connection(tcp::socket socket, std::shared_ptr<const caller_connection_callbacks> callbacks)
+caller_connection::caller_connection(
+	tcp::socket socket, std::shared_ptr<const caller_connection_callbacks> callbacks)
 	: socket_(std::move(socket)), callbacks_(std::move(callbacks)), limits_(callbacks_->limits()),
 	  timer_(socket_.get_executor())
 {
@@ -64,26 +65,26 @@
 	}
 }
 
-void caller_connection::send(response answer)
+void caller_connection::send(response outgoing)
 {
-	if (state_ != state::answering)
+	if (state_ != state::responding)
 	{
 		return;
 	}
 	const bool stays_open = keep_alive_ && !callbacks_->stopping();
-	header_fields framing{{"Content-Length", std::to_string(answer.body.size())}};
+	header_fields framing{{"Content-Length", std::to_string(outgoing.body.size())}};
 	if (!stays_open)
 	{
 		framing.push_back({"Connection", "close"});
 	}
-	if (answer.reason.empty())
+	if (outgoing.reason.empty())
 	{
-		answer.reason = reason_phrase(answer.status);
+		outgoing.reason = reason_phrase(outgoing.status);
 	}
-	auto bytes = write_head(answer.status, answer.reason, answer.fields, framing);
+	auto bytes = write_head(outgoing.status, outgoing.reason, outgoing.fields, framing);
 	if (!is_head_request_)
 	{
-		bytes += answer.body;
+		bytes += outgoing.body;
 	}
 	write(bytes);
 	finish_response(stays_open);
@@ -91,7 +92,7 @@
 
 void caller_connection::send_head(int status, std::string_view reason, const header_fields& fields)
 {
-	if (state_ != state::answering)
+	if (state_ != state::responding)
 	{
 		return;
 	}
@@ -111,7 +112,7 @@
 
 void caller_connection::write_body(std::string_view bytes)
 {
-	if (state_ != state::answering || bytes.empty())
+	if (state_ != state::responding || bytes.empty())
 	{
 		return;
 	}
@@ -120,7 +121,7 @@
 
 void caller_connection::end_stream()
 {
-	if (state_ != state::answering)
+	if (state_ != state::responding)
 	{
 		return;
 	}
@@ -140,7 +141,8 @@
 	active_.reset();
 	if (!is_chunked_)
 	{
-		// Without chunks a plain end would look complete: reset instead.
+		// Without chunked encoding, an orderly close would look like a complete response: reset the
+		// connection.
 		error_code ignored;
 		socket_.set_option(asio::socket_base::linger{true, 0}, ignored);
 		close();
@@ -183,7 +185,7 @@
 	buffer_.commit(size);
 	if (state_ == state::finishing)
 	{
-		// Whatever comes after the last answer is not read as a request.
+		// Data after the last request of the connection is discarded.
 		buffer_.consume(buffer_.size());
 		read();
 		return;
@@ -270,8 +272,8 @@
 bool caller_connection::read_body()
 {
 	error_code error;
-	const auto used = parser_->put(buffer_.data(), error);
-	buffer_.consume(used);
+	const auto consumed = parser_->put(buffer_.data(), error);
+	buffer_.consume(consumed);
 	if (error == beast::http::error::body_limit)
 	{
 		refuse(content_too_large, "body too large");
@@ -287,7 +289,7 @@
 		start_request();
 		return true;
 	}
-	return used > 0;
+	return consumed > 0;
 }
 
 void caller_connection::start_request()
@@ -308,7 +310,7 @@
 	keep_alive_ = request_.keep_alive;
 	is_head_request_ = request_.method == "HEAD";
 	is_chunked_ = false;
-	state_ = state::answering;
+	state_ = state::responding;
 	timer_.cancel();
 	if (request_.target.empty() || request_.target.front() != '/')
 	{
@@ -316,7 +318,7 @@
 		return;
 	}
 	auto active = callbacks_->handle(request_, shared_from_this());
-	if (state_ == state::answering)
+	if (state_ == state::responding)
 	{
 		active_ = std::move(active);
 	}
@@ -324,7 +326,7 @@
 
 void caller_connection::refuse(int status, const std::string& why)
 {
-	state_ = state::answering;
+	state_ = state::responding;
 	keep_alive_ = false;
 	send({status, {}, {{"Content-Type", "text/plain"}}, why + "\n"});
 }
@@ -334,7 +336,7 @@
 	pending_output_ += bytes;
 	if (pending_output_.size() > max_pending_bytes)
 	{
-		// Posted: whoever passes bytes on must not be cancelled in the middle of it.
+		// Posted, because the writer of the response must not be cancelled in the middle of its call.
 		asio::post(socket_.get_executor(), [self = shared_from_this()] { self->on_disconnect(); });
 	}
 	if (!is_writing_)
@@ -370,7 +372,8 @@
 	}
 	if (state_ == state::finishing)
 	{
-		// The caller reads to the end first: closing with unread bytes would reset the connection.
+		// Only the sending side is shut down: closing with unread input would reset the connection before the
+		// caller has read the response.
 		error_code ignored;
 		socket_.shutdown(tcp::socket::shutdown_send, ignored);
 	}
@@ -387,7 +390,7 @@
 	}
 	state_ = state::idle;
 	arm_timer(limits_.idle_time);
-	// Posted, so that a run of pipelined requests does not deepen the stack.
+	// Posted, so that a series of pipelined requests does not recurse.
 	asio::post(socket_.get_executor(),
 		[self = shared_from_this()]
 		{
--- a/src/proxy/event_stream.cpp
+++ b/src/proxy/event_stream.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Cuts a stream of server-sent events into whole events.
+// Splits a stream of server-sent events (SSE) into events.
 #include <charconv>
 #include <gingerdyke/proxy/event_stream.hpp>
 
@@ -8,7 +8,7 @@
 event_batch event_stream::feed(std::string_view bytes)
 {
 	event_batch batch;
-	// An empty line may be cut by a piece's end: look again at what stood just before.
+	// The empty line may be split between two parts: search from the last byte of the previous one.
 	std::size_t search = partial_.empty() ? 0 : partial_.size() - 1;
 	partial_ += bytes;
 	std::size_t start = 0;
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// One request: attempts and endings. Its admission is in exchange_admission.cpp, what its replica does in
-// exchange_answers.cpp.
+// Handling of a request: dispatch, retries and final outcomes. Admission is in exchange_admission.cpp,
+// responses of replicas in exchange_answers.cpp.
 #include <algorithm>
 #include <gingerdyke/base/crypto.hpp>
 #include <gingerdyke/proxy/exchange.hpp>
@@ -14,7 +14,7 @@
 constexpr int unavailable = 503;
 constexpr int gateway_timeout = 504;
 
-/// Lowest rank that engines know.
+/// Lowest priority that engines support.
 constexpr unsigned lowest_priority = 9;
 
 constexpr std::string_view any_model = "*";
@@ -28,8 +28,8 @@
 }
 } // namespace
 
-exchange::exchange(gateway& shared, request what, std::shared_ptr<response_sink> to)
-	: shared_(shared), request_(std::move(what)), sink_(std::move(to)), arrived_(steady_now()),
+exchange::exchange(gateway& shared, request incoming, std::shared_ptr<response_sink> output)
+	: shared_(shared), request_(std::move(incoming)), sink_(std::move(output)), arrived_(steady_now()),
 	  deadline_timer_(shared.context()), attempt_timer_(shared.context())
 {
 }
@@ -54,7 +54,8 @@
 	}
 	if (shared_.suspects().is_open(request_key_, now))
 	{
-		// A round trip later it is known whether the replica ended, and whether others did with it.
+		// Within one round trip it is known whether the replica's process exited, and whether others exited
+		// with it.
 		shared_.exit_detector().when_resolved(
 			[self = shared_from_this()]
 			{
@@ -93,20 +94,20 @@
 	send_to(replica);
 }
 
-/// None where the request may be served if it is sent now. One that could only end at its time limit would
-/// keep its caller waiting for nothing, and its prompt would delay those that can still be served.
-std::optional<duration> exchange::time_until_servable(const routing::replica& at) const
+/// None if the request may be sent now. A request that can only time out would make its caller wait for
+/// nothing, and its prompt would delay requests that can still be served.
+std::optional<duration> exchange::time_until_servable(const routing::replica& engine) const
 {
 	if (!targets_engine() || execution_ != execution::not_run)
 	{
 		return std::nullopt;
 	}
-	// An idle engine is always tried: else an estimate that is far too high would never be corrected.
-	if (shared_.selector().work_at(at, steady_now()) <= 0)
+	// An idle engine is always tried: otherwise an estimate that is far too high would never be corrected.
+	if (shared_.selector().work_at(engine, steady_now()) <= 0)
 	{
 		return std::nullopt;
 	}
-	const auto expected = time_to_first_token(at);
+	const auto expected = time_to_first_token(engine);
 	if (expected < time_left() * shared_.tuning().refusal_factor)
 	{
 		return std::nullopt;
@@ -119,10 +120,10 @@
 	const auto now = steady_now();
 	if (shared_.suspects().is_nearly_held(request_key_, now))
 	{
-		// Both would be blamed for the end of a replica that they share: a request that only stood beside the
-		// cause twice would be held back with it.
-		const auto unshared = choose_replica_among(
-			[&](const routing::replica& one) { return !shared_.runs_another_suspect(one, request_key_, now); });
+		// Both requests would be blamed if the process exited: a request that merely ran beside the cause
+		// twice would be held as well.
+		const auto unshared = choose_replica_among([&](const routing::replica& candidate)
+			{ return !shared_.runs_another_suspect(candidate, request_key_, now); });
 		if (unshared)
 		{
 			return unshared;
@@ -136,37 +137,39 @@
 	const auto now = steady_now();
 	auto& versions = shared_.versions();
 	std::string version = versions.version_for(service_id_, session_hash_, now);
-	routing::selection what;
-	what.service = service_id_;
-	what.affinity = route_->keeps_prefixes ? prompt_.prefix_hash : 0;
-	what.model_weight = model_weight();
-	what.shared_work = prompt_.prefix_tokens * what.model_weight;
-	what.is_engine = targets_engine();
-	what.usable = [&](const routing::replica& one)
-	{
-		const bool was_tried = std::find(tried_replicas_.begin(), tried_replicas_.end(), one.id) != tried_replicas_.end();
-		return !was_tried && (version.empty() || one.version == version) && versions.is_in_use(one, now) &&
-			   has_free_connection(one) && shared_.may_send(one, now) && allowed(one);
+	routing::selection criteria;
+	criteria.service = service_id_;
+	criteria.affinity = route_->keeps_prefixes ? prompt_.prefix_hash : 0;
+	criteria.model_weight = model_weight();
+	criteria.shared_work = prompt_.prefix_tokens * criteria.model_weight;
+	criteria.is_engine = targets_engine();
+	criteria.usable = [&](const routing::replica& candidate)
+	{
+		const bool was_tried =
+			std::find(tried_replicas_.begin(), tried_replicas_.end(), candidate.id) != tried_replicas_.end();
+		return !was_tried && (version.empty() || candidate.version == version) &&
+			   versions.is_in_use(candidate, now) && has_free_connection(candidate) &&
+			   shared_.may_send(candidate, now) && allowed(candidate);
 	};
-	auto chosen = shared_.selector().choose(what, now);
+	auto chosen = shared_.selector().choose(criteria, now);
 	if (!chosen)
 	{
 		version = versions.fallback_for(service_id_, session_hash_, now);
-		chosen = version.empty() ? nullptr : shared_.selector().choose(what, now);
+		chosen = version.empty() ? nullptr : shared_.selector().choose(criteria, now);
 	}
 	return chosen;
 }
 
-bool exchange::has_free_connection(const routing::replica& one) const
+bool exchange::has_free_connection(const routing::replica& candidate) const
 {
 	const auto limit = service_ == nullptr ? 0 : service_->connections_per_replica;
-	if (limit == 0 || shared_.pool().idle_count(one.id) > 0)
+	if (limit == 0 || shared_.pool().idle_count(candidate.id) > 0)
 	{
 		return true;
 	}
-	// Replicas reset connections beyond their limit, which counts those of all VMs.
+	// Replicas reset connections beyond their limit, which counts the connections of all VMs.
 	const auto share = limit / shared_.vm_count();
-	return shared_.pool().connection_count(one.id) < std::max(shared_.tuning().min_connections, share);
+	return shared_.pool().connection_count(candidate.id) < std::max(shared_.tuning().min_connections, share);
 }
 
 bool exchange::targets_engine() const
@@ -174,7 +177,7 @@
 	return service_ != nullptr && service_->is_engine;
 }
 
-/// A smaller model does the same work in less of an engine's time.
+/// A smaller model does the same work in less engine time.
 double exchange::model_weight() const
 {
 	if (service_ == nullptr)
@@ -189,16 +192,16 @@
 	return requested_model == nullptr ? 1 : service_->relative_cost(model_id{*requested_model});
 }
 
-double exchange::work_before_first_token(const routing::replica& at) const
+double exchange::work_before_first_token(const routing::replica& engine) const
 {
 	const auto own = prompt_.expected_prefill_tokens() * model_weight();
-	return shared_.selector().work_at(at, steady_now()) + own;
+	return shared_.selector().work_at(engine, steady_now()) + own;
 }
 
-/// If the request were sent there now.
-duration exchange::time_to_first_token(const routing::replica& at) const
+/// Expected time to the first token if the request were sent to the replica now.
+duration exchange::time_to_first_token(const routing::replica& engine) const
 {
-	return shared_.first_token_times(service_id_).expected(work_before_first_token(at), steady_now());
+	return shared_.first_token_times(service_id_).expected(work_before_first_token(engine), steady_now());
 }
 
 header_fields exchange::upstream_fields(const routing::replica& to) const
@@ -206,21 +209,22 @@
 	const auto& names = shared_.names();
 	const bool chooses_model = !route_->models.empty();
 	header_fields fields;
-	for (auto& one : without_hop_by_hop_fields(request_.fields))
+	for (auto& field : without_hop_by_hop_fields(request_.fields))
 	{
 		const bool is_reserved = std::any_of(names.reserved.begin(), names.reserved.end(),
-			[&](const std::string& name) { return equals_ignore_case(name, one.name); });
-		const bool is_replaced = equals_ignore_case(one.name, names.deadline_ms) ||
-								 (equals_ignore_case(one.name, names.last_event_id) && events_.last_id());
-		if (is_reserved || is_replaced || (workspace_ != nullptr && equals_ignore_case(one.name, "Authorization")))
+			[&](const std::string& name) { return equals_ignore_case(name, field.name); });
+		const bool is_replaced = equals_ignore_case(field.name, names.deadline_ms) ||
+								 (equals_ignore_case(field.name, names.last_event_id) && events_.last_id());
+		if (is_reserved || is_replaced ||
+			(workspace_ != nullptr && equals_ignore_case(field.name, "Authorization")))
 		{
 			continue;
 		}
-		if (chooses_model && equals_ignore_case(one.name, names.model) && one.value == any_model)
+		if (chooses_model && equals_ignore_case(field.name, names.model) && field.value == any_model)
 		{
-			one.value = route_->models[model_step_.index].str();
+			field.value = route_->models[model_step_.index].str();
 		}
-		fields.push_back(std::move(one));
+		fields.push_back(std::move(field));
 	}
 	const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(time_left());
 	fields.push_back({names.deadline_ms, std::to_string(std::max<std::int64_t>(1, left.count()))});
@@ -232,7 +236,8 @@
 	if (route_->streams)
 	{
 		const auto workspace_priority = workspace_ == nullptr ? std::nullopt : workspace_->priority;
-		const auto effective_priority = std::min(lowest_priority, workspace_priority.value_or(route_->priority));
+		const auto effective_priority =
+			std::min(lowest_priority, workspace_priority.value_or(route_->priority));
 		fields.push_back({names.priority, std::to_string(effective_priority)});
 		if (events_.last_id())
 		{
@@ -261,7 +266,7 @@
 	attempt_->execution_before = execution_;
 	attempt_->size = model_step_;
 	attempt_->run = shared_.exit_detector().runs().begin(*to, request_key_, now);
-	// From here on a replica may run it at any moment, whatever is heard of it.
+	// From here on the replica may run the request, whether or not anything is received from it.
 	execution_ = execution::may_have_run;
 	attempt_->is_cold = shared_.cold_replicas().is_cold(*to, now);
 	attempt_->is_limited = shared_.load_limits().is_limited(*to);
@@ -281,12 +286,13 @@
 	callbacks.body_received = [self](std::string_view bytes) { self->on_body(bytes); };
 	callbacks.response_completed = [self] { self->on_end(); };
 	callbacks.request_failed = [self](upstream_fault fault) { self->on_fault(fault); };
-	upstream_request what{serialize_request(request_, upstream_fields(*to)), id_, request_.method == "HEAD"};
+	upstream_request outgoing{
+		serialize_request(request_, upstream_fields(*to)), id_, request_.method == "HEAD"};
 	if (route_->may_run_again())
 	{
-		what.unacknowledged_timeout = shared_.tuning().unacknowledged_timeout;
+		outgoing.unacknowledged_timeout = shared_.tuning().unacknowledged_timeout;
 	}
-	attempt_->connection->send(std::move(what), callbacks);
+	attempt_->connection->send(std::move(outgoing), callbacks);
 }
 
 void exchange::retry_or(const std::function<void()>& otherwise)
@@ -300,8 +306,9 @@
 	dispatch();
 }
 
-/// What an engine has read delays nobody else. Counted until the answer's end, engines with long answers
-/// looked busier than those with prompts to read, and callers were sent to these.
+/// A prompt that has been prefilled delays no other request. When it counted until the end of the response,
+/// engines with long responses looked busier than those with prompts to prefill, and requests were sent to
+/// the latter.
 void exchange::release_prefill_work()
 {
 	const auto read = prompt_.input_tokens * model_weight();
@@ -372,8 +379,8 @@
 	send_local_reply(status, std::move(reason), {});
 }
 
-/// 502: a 503 would ask the caller to come back and end the next replica, and a 4xx would say that the
-/// request is wrong, which is likely and not known.
+/// Responds with 502: a 503 would ask the caller to retry and crash another replica, and a 4xx would state
+/// that the request is at fault, which is likely but not known.
 void exchange::refuse_quarantined()
 {
 	const std::string reason = "replicas end under this request";
@@ -385,7 +392,8 @@
 	send_local_reply(bad_gateway, reason, {});
 }
 
-/// Those who are told to wait for the same replicas come back one after the other.
+/// `Retry-After` is spread by a hash of the request id, so that callers that wait for the same replicas do
+/// not return all at once.
 void exchange::refuse_without_replica()
 {
 	const auto now = steady_now();
@@ -412,7 +420,7 @@
 		finish(request_outcome::broken_off, 0, std::move(reason));
 		return;
 	}
-	// A refusal promises that nothing ran; where something may have, the caller must not be told so.
+	// A refusal states that no replica ran the request; the caller must not be told so if one may have.
 	if (execution_ == execution::not_run)
 	{
 		refuse(unavailable, std::move(reason));
@@ -428,7 +436,8 @@
 		fields.push_back({shared_.names().request_id, id_});
 	}
 	fields.push_back({"Content-Type", "text/plain"});
-	const auto outcome = execution_ == execution::not_run ? request_outcome::refused : request_outcome::failed;
+	const auto outcome =
+		execution_ == execution::not_run ? request_outcome::refused : request_outcome::failed;
 	const auto sink = sink_;
 	auto body = reason + "\n";
 	finish(outcome, status, std::move(reason));
--- a/src/proxy/exchange_admission.cpp
+++ b/src/proxy/exchange_admission.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One request: what must hold before it is sent anywhere.
+// Handling of a request: admission, before it is sent to any replica.
 #include <algorithm>
 #include <charconv>
 #include <gingerdyke/base/crypto.hpp>
@@ -15,7 +15,7 @@
 constexpr int not_found = 404;
 constexpr int unavailable = 503;
 
-/// The key in an `Authorization` header; none where it is of another scheme.
+/// The API key in an `Authorization` header; none if the header has another scheme.
 std::optional<std::string> parse_key(const std::string* value, const std::string& scheme)
 {
 	if (value == nullptr || value->size() <= scheme.size() + 1 || !value->starts_with(scheme) ||
@@ -111,8 +111,7 @@
 	}
 	request_key_ = compute_request_key();
 	const auto* session = request_.find(names.session);
-	session_hash_ =
-		mix_hash(stable_hash(session != nullptr ? *session : id_), stable_hash(route_->id.str()));
+	session_hash_ = mix_hash(stable_hash(session != nullptr ? *session : id_), stable_hash(route_->id.str()));
 	service_id_ = routing::pick_service(*route_, session_hash_);
 	service_ = catalog_->find_service(service_id_);
 	prompt_ = read_prompt(request_.find(names.token_counts), request_.find(names.prompt_parts));
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One request: what its replica does, and what is made of it.
+// Handling of a request: events from the replica, and the reaction to them.
 #include <algorithm>
 #include <charconv>
 #include <gingerdyke/proxy/exchange.hpp>
@@ -22,7 +22,8 @@
 }
 } // namespace
 
-/// The connection may have taken hundreds of milliseconds to come up: the replica may have left meanwhile.
+/// Checks again whether the replica can be sent the request: connecting may have taken hundreds of
+/// milliseconds, in which it may have started to drain.
 void exchange::on_connected()
 {
 	shared_.exit_detector().runs().note_connected(*attempt_->target, attempt_->sent_at);
@@ -45,7 +46,7 @@
 {
 	const auto now = steady_now();
 	const auto& to = *attempt_->target;
-	// What counted as cold, or as limited, when it was chosen has its share already.
+	// If the replica was cold or limited when it was chosen, the attempt has already used its share.
 	const bool has_cold_share = attempt_->is_cold || shared_.cold_replicas().takes(to, now);
 	const bool has_limit_share = attempt_->is_limited || shared_.load_limits().takes(to, now);
 	return shared_.replicas().takes_work(to) && !shared_.evacuated().contains(to.domain) &&
@@ -96,13 +97,13 @@
 	attempt_->is_stream = route_->streams && is_success(received.status);
 	if (!attempt_->is_stream && response_started_)
 	{
-		// A stream that had begun can't be continued by another kind of answer.
+		// A started stream can't be continued by a response that is not a stream.
 		end_attempt(false);
 		fail(bad_gateway, "stream refused to go on");
 	}
 }
 
-/// What another process says that has the replica's address now is not the replica's word.
+/// Ignores statements of another process that now has the replica's address.
 void exchange::note_statements(const response_head& head)
 {
 	if (head.status == misdirected || is_invalid_response(head))
@@ -111,30 +112,30 @@
 	}
 	const auto& from = *attempt_->target;
 	const auto now = steady_now();
-	const auto said = read_statements(head, shared_.names(), std::chrono::system_clock::now());
-	for (const auto& name : said.unknown)
+	const auto statements = read_statements(head, shared_.names(), std::chrono::system_clock::now());
+	for (const auto& name : statements.unknown)
 	{
-		shared_.unknown_names().note(statement_source::answer, name, from.id.str());
+		shared_.unknown_names().note(statement_source::outgoing, name, from.id.str());
 	}
-	if (said.is_draining)
+	if (statements.is_draining)
 	{
 		shared_.note_leaving(from, id_);
 	}
-	if (said.backoff)
+	if (statements.backoff)
 	{
-		shared_.backoffs().note_rest(from, *said.backoff, id_, now);
+		shared_.backoffs().note_rest(from, *statements.backoff, id_, now);
 	}
 	else
 	{
 		shared_.backoffs().note_answer(from, attempt_->sent_at);
 	}
-	if (!said.unreadable.empty())
+	if (!statements.unreadable.empty())
 	{
-		shared_.note_unreadable_statement(from, said.unreadable);
+		shared_.note_unreadable_statement(from, statements.unreadable);
 	}
-	if (!said.has_unreadable_limit)
+	if (!statements.has_unreadable_limit)
 	{
-		shared_.load_limits().note_answer(from, {said.load_limit, attempt_->sent_at, id_}, now);
+		shared_.load_limits().note_answer(from, {statements.load_limit, attempt_->sent_at, id_}, now);
 	}
 }
 
@@ -149,7 +150,7 @@
 	return sample;
 }
 
-/// Nothing ran there: another replica may, as far as attempts go.
+/// The replica did not run the request, so another may, within the allowed number of attempts.
 void exchange::on_not_run()
 {
 	const auto to = attempt_->target;
@@ -166,7 +167,7 @@
 	retry_or([this] { fail_refused(); });
 }
 
-/// Where all replicas rest, the caller is told when the first of them is back.
+/// If all replicas have asked to back off, the caller is told when the first of them is available again.
 void exchange::fail_refused()
 {
 	if (shared_.backoffs().time_until_back(service_id_, steady_now()) && !choose_replica())
@@ -187,13 +188,15 @@
 	return is_success(head.status) && head.find(names.signature) == nullptr;
 }
 
-/// Smaller models' first tokens mostly wait for other prompts: they would tell of the load, not of the speed.
+/// First tokens of smaller models are not recorded: they mostly wait for other prompts, so their times show
+/// the load rather than the speed of the engine.
 void exchange::record_first_token()
 {
 	constexpr double least_weight = 0.5;
 	if (targets_engine() && model_weight() >= least_weight)
 	{
-		shared_.first_token_times(service_id_).note(attempt_->queued_work, attempt_->first_byte, steady_now());
+		shared_.first_token_times(service_id_)
+			.note(attempt_->queued_work, attempt_->first_byte, steady_now());
 	}
 }
 
@@ -209,7 +212,8 @@
 	return read.ec == std::errc{} && escalate(confidence);
 }
 
-/// Takes the larger model for the next attempt where that is worth it.
+/// Selects the larger model for the next attempt if its expected delay is acceptable for the confidence of
+/// the smaller model's answer.
 bool exchange::escalate(double confidence)
 {
 	const auto larger = routing::size_policy::after(*route_, attempt_->size);
@@ -229,7 +233,7 @@
 	return true;
 }
 
-/// From the request's arrival, if it were sent now.
+/// Expected time from the request's arrival to the first token if it were sent now.
 duration exchange::expected_first_token() const
 {
 	const auto to = choose_replica();
@@ -317,7 +321,7 @@
 {
 	const auto& head = attempt_->head;
 	const auto status = head.status;
-	response answer{status, head.reason, without_hop_by_hop_fields(head.fields), std::move(attempt_->body)};
+	response outgoing{status, head.reason, without_hop_by_hop_fields(head.fields), std::move(attempt_->body)};
 	first_byte_time_ = steady_now() - arrived_;
 	const bool failed = status >= first_server_error;
 	attempt_->run_outcome = failed ? quarantine::run_end::over : quarantine::run_end::survived;
@@ -325,7 +329,7 @@
 	const auto sink = sink_;
 	finish(failed ? request_outcome::failed_by_replica : request_outcome::served, status,
 		failed ? "replica failed" : "");
-	sink->send(std::move(answer));
+	sink->send(std::move(outgoing));
 }
 
 void exchange::on_fault(upstream_fault fault)
@@ -343,7 +347,7 @@
 	{
 		shared_.exit_detector().note_broken_response(attempt_->target, steady_now());
 	}
-	// A connection kept too long tells nothing about its replica.
+	// The replica closed a reused idle connection: that is no failure of the replica.
 	const bool is_stale_connection = fault == upstream_fault::no_response && attempt_->connection->was_used();
 	if (!is_stale_connection)
 	{
@@ -354,7 +358,8 @@
 	retry_or([this, fault] { fail(bad_gateway, name_of(fault)); });
 }
 
-/// Nothing was sent, so it counts neither as an attempt nor against the budget.
+/// Reverts an attempt for which nothing was sent: it counts neither as an attempt nor against the retry
+/// budget.
 void exchange::undo_attempt()
 {
 	execution_ = attempt_->execution_before;
@@ -389,7 +394,8 @@
 duration exchange::first_byte_limit() const
 {
 	const auto& tuning = shared_.tuning();
-	const auto share = route_->streams ? tuning.first_byte_timeout_factor : tuning.buffered_response_timeout_factor;
+	const auto share =
+		route_->streams ? tuning.first_byte_timeout_factor : tuning.buffered_response_timeout_factor;
 	return std::max(tuning.min_attempt_timeout, scaled(route_->objective, share));
 }
 
@@ -399,7 +405,7 @@
 	attempt_timer_.async_wait(
 		[self = shared_from_this()](const error_code& error)
 		{
-			// A timer that was set anew may have been due already.
+			// The handler of an earlier expiry may have been queued before the timer was set again.
 			const bool is_due = self->attempt_timer_.expiry() <= boot_clock::now();
 			if (!error && !self->finished_ && self->attempt_ && is_due)
 			{
@@ -415,7 +421,7 @@
 		on_not_connected(upstream_fault::not_connected);
 		return;
 	}
-	// Where nothing else can be tried, what is under way may still come.
+	// If there is no alternative, the current attempt may still succeed.
 	if (!may_retry() || !route_->may_run_again())
 	{
 		return;
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What all requests of a VM share.
+// State shared by all requests of a VM.
 #include <gingerdyke/log/log.hpp>
 #include <gingerdyke/metrics/text_format.hpp>
 #include <gingerdyke/proxy/exchange.hpp>
@@ -14,43 +14,45 @@
 	log::write(log::level::info, "replica ejected",
 		{{"replica", id.str()}, {"failure_rate", rate}, {"for_ms", to_milliseconds(span)}});
 }
-void log_replica_change(const routing::replica& one, routing::replica_change change)
+void log_replica_change(const routing::replica& instance, routing::replica_change change)
 {
 	log::write(log::level::info, "replica",
-		{{"replica", one.id.str()}, {"service", one.service.str()}, {"address", one.at.str()},
-			{"version", one.version}, {"change", routing::name_of(change)}});
+		{{"replica", instance.id.str()}, {"service", instance.service.str()}, {"address", instance.at.str()},
+			{"version", instance.version}, {"change", routing::name_of(change)}});
 }
 
-void log_cold_replica(const routing::replica& one, routing::cold_reason reason, duration left)
+void log_cold_replica(const routing::replica& instance, routing::cold_reason reason, duration left)
 {
 	log::write(log::level::info, "replica is cold",
-		{{"replica", one.id.str()}, {"service", one.service.str()}, {"failure_domain", one.domain.str()},
-			{"why", routing::name_of(reason)}, {"for_ms", to_milliseconds(left)}});
+		{{"replica", instance.id.str()}, {"service", instance.service.str()},
+			{"failure_domain", instance.domain.str()}, {"why", routing::name_of(reason)},
+			{"for_ms", to_milliseconds(left)}});
 }
 
 void log_load_limit(
-	const routing::replica& one, routing::limit_change change, const routing::limit_statement& said)
+	const routing::replica& instance, routing::limit_change change, const routing::limit_statement& statement)
 {
-	log::write(log::level::info, "replica limits its load",
-		{{"replica", one.id.str()}, {"service", one.service.str()}, {"change", routing::name_of(change)},
-			{"requests_per_s", said.requests_per_s.value_or(0)}, {"request", said.request}});
+	log::write(log::level::info, "replica load limit",
+		{{"replica", instance.id.str()}, {"service", instance.service.str()},
+			{"change", routing::name_of(change)}, {"requests_per_s", statement.requests_per_s.value_or(0)},
+			{"request", statement.request}});
 }
 
-void log_backoff(const routing::replica& one, const std::string& request, duration left)
+void log_backoff(const routing::replica& instance, const std::string& request, duration left)
 {
-	log::write(log::level::info, "replica wants rest",
-		{{"replica", one.id.str()}, {"service", one.service.str()}, {"for_ms", to_milliseconds(left)},
-			{"request", request}});
+	log::write(log::level::info, "replica requested backoff",
+		{{"replica", instance.id.str()}, {"service", instance.service.str()},
+			{"for_ms", to_milliseconds(left)}, {"request", request}});
 }
 
 std::map<service_id, routing::cold_limit> cold_limits_of(const routing::catalog& catalog)
 {
 	std::map<service_id, routing::cold_limit> limits;
-	for (const auto& one : catalog.services())
+	for (const auto& service_settings : catalog.services())
 	{
-		if (one.cold)
+		if (service_settings.cold)
 		{
-			limits[one.id] = *one.cold;
+			limits[service_settings.id] = *service_settings.cold;
 		}
 	}
 	return limits;
@@ -59,7 +61,7 @@
 void log_unknown_name(statement_source source, const std::string& name, const std::string& who)
 {
 	log::write(
-		log::level::warn, "statement not known", {{"where", name_of(source)}, {"name", name}, {"from", who}});
+		log::level::warn, "unknown statement", {{"where", name_of(source)}, {"name", name}, {"from", who}});
 }
 
 rollout::shift_tuning shift_tuning_for(const fleet_bounds& bounds)
@@ -69,33 +71,33 @@
 	return tuning;
 }
 
-/// Keys that one line names, at most.
+/// Maximum number of request keys in one log line.
 constexpr std::size_t max_logged_keys = 8;
 
-void log_replica_exit(const replica_exit& end, bool was_expected)
+void log_replica_exit(const replica_exit& exited, bool was_expected)
 {
 	json keys = json::array();
-	for (const auto& key : end.requests)
+	for (const auto& key : exited.requests)
 	{
 		if (keys.size() < max_logged_keys)
 		{
 			keys.push_back(key.str());
 		}
 	}
-	log::write(log::level::warn, "replica ended",
-		{{"replica", end.replica->id.str()}, {"service", end.replica->service.str()},
-			{"version", end.replica->version}, {"expected", was_expected}, {"requests", end.requests.size()},
-			{"contents", std::move(keys)}});
+	log::write(log::level::warn, "replica process exited",
+		{{"replica", exited.replica->id.str()}, {"service", exited.replica->service.str()},
+			{"version", exited.replica->version}, {"expected", was_expected},
+			{"requests", exited.requests.size()}, {"contents", std::move(keys)}});
 }
 
-void log_hold(const quarantine::suspicion& what, double weight)
+void log_held_request(const quarantine::suspicion& suspected, double weight)
 {
-	log::write(log::level::warn, "request held back",
-		{{"content", what.key.str()}, {"ended", what.ended.size()}, {"weight", weight},
-			{"survived", what.survived.size()}});
+	log::write(log::level::warn, "request held after replica exits",
+		{{"content", suspected.key.str()}, {"ended", suspected.ended.size()}, {"weight", weight},
+			{"survived", suspected.survived.size()}});
 }
 
-void log_shift(const rollout::shift_news& news)
+void log_version_shift(const rollout::shift_news& news)
 {
 	const auto& plan = news.plan;
 	json fields{{"service", plan.service.str()}, {"from", plan.from_version}, {"to", plan.to_version},
@@ -136,14 +138,15 @@
 gateway::gateway(asio::io_context& context, header_names names, fleet_bounds bounds,
 	failure_domain_id own_domain, random_source random, request_log& log, gateway_tuning tuning)
 	: context_(context), names_(std::move(names)), bounds_(bounds), log_(log), tuning_(tuning),
-	  replicas_([this](const routing::replica& one, routing::replica_change change)
-		  { on_replica_change(one, change); }),
+	  replicas_([this](const routing::replica& instance, routing::replica_change change)
+		  { on_replica_change(instance, change); }),
 	  evacuated_domains_([this](const failure_domain_id& domain, bool is_evacuated)
 		  { on_evacuation(domain, is_evacuated); }),
 	  cold_replicas_(vms_, log_cold_replica), load_limits_(vms_, log_load_limit), backoffs_(log_backoff),
 	  selector_(replicas_, std::move(own_domain), random, log_ejection), pool_(context, names_.request_id),
-	  suspects_(log_hold), exit_detector_(context, exit_detector_hooks()), unknown_names_(log_unknown_name),
-	  versions_(std::move(random), log_shift, shift_tuning_for(bounds_))
+	  suspects_(log_held_request), exit_detector_(context, exit_detector_hooks()),
+	  unknown_names_(log_unknown_name),
+	  versions_(std::move(random), log_version_shift, shift_tuning_for(bounds_))
 {
 }
 
@@ -165,7 +168,8 @@
 	run_ready_hooks();
 }
 
-/// Posted: who brought the last news may still have to say how fresh it is.
+/// Posted, because the caller of this function may still have to set the time at which the data was
+/// confirmed.
 void gateway::run_ready_hooks()
 {
 	if (!ready())
@@ -219,7 +223,8 @@
 
 bool gateway::accepts_requests(bool is_stream, instant now) const
 {
-	const auto last = is_stream ? tuning_.stream_acceptance_while_stopping : tuning_.request_acceptance_while_stopping;
+	const auto last =
+		is_stream ? tuning_.stream_acceptance_while_stopping : tuning_.request_acceptance_while_stopping;
 	return !stop_started_at_ || now - *stop_started_at_ < last;
 }
 
@@ -242,10 +247,10 @@
 		return *first;
 	}
 	const auto& all = replicas_.of(service);
-	const bool is_evacuated = std::any_of(
-		all.begin(), all.end(), [this](const auto& one) { return evacuated_domains_.contains(one->domain); });
-	const bool all_leave =
-		!all.empty() && std::all_of(all.begin(), all.end(), [](const auto& one) { return one->leaving; });
+	const bool is_evacuated = std::any_of(all.begin(), all.end(),
+		[this](const auto& instance) { return evacuated_domains_.contains(instance->domain); });
+	const bool all_leave = !all.empty() && std::all_of(all.begin(), all.end(),
+											   [](const auto& instance) { return instance->leaving; });
 	const auto* reason = is_evacuated ? "failure domains are evacuated"
 						 : all_leave  ? "all replicas leave"
 									  : "no replica";
@@ -254,8 +259,8 @@
 
 bool gateway::may_send(const routing::replica& to, instant now) const
 {
-	return !evacuated_domains_.contains(to.domain) && cold_replicas_.takes(to, now) && load_limits_.takes(to, now) &&
-		   backoffs_.takes(to, now);
+	return !evacuated_domains_.contains(to.domain) && cold_replicas_.takes(to, now) &&
+		   load_limits_.takes(to, now) && backoffs_.takes(to, now);
 }
 
 void gateway::note_sent(const routing::replica& to, instant now)
@@ -265,11 +270,11 @@
 	backoffs_.note_sent(to, now);
 }
 
-std::shared_ptr<active_request> gateway::handle(request what, std::shared_ptr<response_sink> to)
+std::shared_ptr<active_request> gateway::handle(request incoming, std::shared_ptr<response_sink> output)
 {
-	const auto made = std::make_shared<exchange>(*this, std::move(what), std::move(to));
-	made->start();
-	return made;
+	const auto created = std::make_shared<exchange>(*this, std::move(incoming), std::move(output));
+	created->start();
+	return created;
 }
 
 limits::attempt_budget& gateway::budget(const service_id& service)
@@ -350,7 +355,7 @@
 {
 	if (replicas_.note_leaving(from, steady_now()))
 	{
-		log::write(log::level::info, "replica says that it leaves",
+		log::write(log::level::info, "replica announced draining",
 			{{"replica", from.id.str()}, {"service", from.service.str()}, {"request", request}});
 	}
 }
@@ -361,7 +366,7 @@
 	++unreadable_statements_;
 	if (logged_unreadable_replicas_.insert(from.id).second)
 	{
-		log::write(log::level::warn, "replica's statement not understood",
+		log::write(log::level::warn, "malformed replica statement",
 			{{"replica", from.id.str()}, {"service", from.service.str()},
 				{"value", value.substr(0, longest)}});
 	}
@@ -370,110 +375,112 @@
 replica_exit_detector::hooks gateway::exit_detector_hooks()
 {
 	replica_exit_detector::hooks hooks;
-	hooks.presumed = [this](const replica_exit& end)
-	{ suspects_.presume(end.life, end.requests, steady_now()); };
-	hooks.resolved = [this](const replica_exit& end, bool has_exited, const auto& together)
-	{ on_replica_exit(end, has_exited, together); };
+	hooks.presumed = [this](const replica_exit& exited)
+	{ suspects_.presume(exited.life, exited.requests, steady_now()); };
+	hooks.resolved = [this](const replica_exit& exited, bool has_exited, const auto& correlated)
+	{ on_replica_exit(exited, has_exited, correlated); };
 	return hooks;
 }
 
 void gateway::on_replica_exit(
-	const replica_exit& end, bool has_exited, const std::vector<quarantine::process_life>& together)
+	const replica_exit& exited, bool has_exited, const std::vector<quarantine::process_life>& correlated)
 {
 	if (!has_exited)
 	{
-		suspects_.retract(end.life);
+		suspects_.retract(exited.life);
 		return;
 	}
 	const auto now = steady_now();
 	++replica_exits_;
-	// One that said that it leaves, or whose entry went, ends whatever runs there. The entry of the next
-	// process under its id tells of no leave.
-	const auto entry = replicas_.find(end.replica->id);
+	// A replica that is draining, or whose entry was removed, exits whatever runs on it. A new entry under
+	// its id, for the next process, does not show that the previous one was draining.
+	const auto entry = replicas_.find(exited.replica->id);
 	const bool was_expected = !entry || !replicas_.takes_work(*entry);
-	log_replica_exit(end, was_expected);
-	was_expected ? suspects_.retract(end.life) : suspects_.confirm(end.life, together, now);
-	cold_replicas_.note_unknown(*end.replica, routing::cold_reason::unreachable, now);
-	// Nobody else has to find out by a connection that is refused.
-	selector_.note_result(*end.replica, routing::replica_result::not_connected, duration{0}, now);
-	if (suspicion_hook_ && !end.requests.empty())
+	log_replica_exit(exited, was_expected);
+	was_expected ? suspects_.retract(exited.life) : suspects_.confirm(exited.life, correlated, now);
+	cold_replicas_.note_unknown(*exited.replica, routing::cold_reason::unreachable, now);
+	// Prevents other requests from being sent to a process that would refuse their connections.
+	selector_.note_result(*exited.replica, routing::replica_result::not_connected, duration{0}, now);
+	if (suspicion_hook_ && !exited.requests.empty())
 	{
 		suspicion_hook_();
 	}
 }
 
 bool gateway::runs_another_suspect(
-	const routing::replica& at, const quarantine::request_key& than, instant now) const
+	const routing::replica& target, const quarantine::request_key& excluded_key, instant now) const
 {
-	const auto running = exit_detector_.runs().running_at(at, now);
+	const auto running = exit_detector_.runs().running_at(target, now);
 	return std::any_of(running.begin(), running.end(),
-		[&](const auto& key) { return key != than && suspects_.is_nearly_held(key, now); });
+		[&](const auto& key) { return key != excluded_key && suspects_.is_nearly_held(key, now); });
 }
 
-/// What was kept for replicas while they got nothing may be lost, whatever their entries said meanwhile.
+/// After an evacuation, the replicas of the failure domain may have lost their warm state, whatever their
+/// entries said meanwhile.
 void gateway::on_evacuation(const failure_domain_id& domain, bool is_evacuated)
 {
 	log::write(log::level::info, "evacuation",
-		{{"failure_domain", domain.str()}, {"in_force", is_evacuated}, {"evacuated", evacuated_domains_.size()}});
+		{{"failure_domain", domain.str()}, {"in_force", is_evacuated},
+			{"evacuated", evacuated_domains_.size()}});
 	if (is_evacuated)
 	{
 		return;
 	}
 	const auto now = steady_now();
-	for (const auto& one : replicas_.all())
+	for (const auto& instance : replicas_.all())
 	{
-		if (one->domain == domain)
+		if (instance->domain == domain)
 		{
-			cold_replicas_.note_unknown(*one, routing::cold_reason::evacuated, now);
+			cold_replicas_.note_unknown(*instance, routing::cold_reason::evacuated, now);
 		}
 	}
 }
 
-void gateway::note_cold(const routing::replica& one, routing::replica_change change, instant now)
+void gateway::note_cold(const routing::replica& instance, routing::replica_change change, instant now)
 {
 	const bool has_started =
 		change == routing::replica_change::restarted || change == routing::replica_change::added;
-	cold_replicas_.note_told(one, now);
-	// Of replicas that were there before this VM nothing is known to have started.
-	if (has_started && !one.cold_left && replicas_.known())
+	cold_replicas_.note_told(instance, now);
+	// Replicas that existed before this VM are not known to have started recently.
+	if (has_started && !instance.cold_left && replicas_.known())
 	{
-		cold_replicas_.note_unknown(one, routing::cold_reason::started, now);
+		cold_replicas_.note_unknown(instance, routing::cold_reason::started, now);
 	}
 }
 
-void gateway::on_replica_change(const routing::replica& one, routing::replica_change change)
+void gateway::on_replica_change(const routing::replica& instance, routing::replica_change change)
 {
 	if (change == routing::replica_change::cold_time)
 	{
-		cold_replicas_.note_told(one, steady_now());
+		cold_replicas_.note_told(instance, steady_now());
 		return;
 	}
-	// The first reading of the registry is told as a whole.
+	// The first read of the registry is not logged replica by replica.
 	if (replicas_.known())
 	{
-		log_replica_change(one, change);
+		log_replica_change(instance, change);
 	}
 	if (change == routing::replica_change::gone)
 	{
-		cold_replicas_.forget(one.id);
+		cold_replicas_.forget(instance.id);
 	}
 	else
 	{
-		note_cold(one, change, steady_now());
+		note_cold(instance, change, steady_now());
 	}
 	if (change == routing::replica_change::gone || change == routing::replica_change::restarted)
 	{
-		load_limits_.forget(one.id);
-		backoffs_.forget(one.id);
-		logged_unreadable_replicas_.erase(one.id);
-		pool_.close_idle_connections(one.id);
-		selector_.forget(one.id);
-		exit_detector_.runs().release(one.id, steady_now());
+		load_limits_.forget(instance.id);
+		backoffs_.forget(instance.id);
+		logged_unreadable_replicas_.erase(instance.id);
+		pool_.close_idle_connections(instance.id);
+		selector_.forget(instance.id);
+		exit_detector_.runs().release(instance.id, steady_now());
 	}
 	if (change == routing::replica_change::leaving)
 	{
-		pool_.close_idle_connections(one.id);
+		pool_.close_idle_connections(instance.id);
 	}
-	versions_.note_replicas(one.service, replicas_.of(one.service));
+	versions_.note_replicas(instance.service, replicas_.of(instance.service));
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Accepts callers at one address.
+// Accepts connections of callers on one address.
 #include <algorithm>
 #include <gingerdyke/log/log.hpp>
 #include <gingerdyke/proxy/listener.hpp>
@@ -8,18 +8,21 @@
 {
 namespace
 {
-/// Connections that wait to be accepted; a burst of callers after a VM's loss must fit.
+/// Maximum number of connections that wait to be accepted; large enough for the burst of callers after the
+/// loss of another VM.
 constexpr int backlog = 1024;
 
-/// Ended connections are forgotten each time the list has grown to this size or twice what was left.
+/// Closed connections are removed from the list when it reaches this size, or twice the size after the last
+/// removal.
 constexpr std::size_t min_removal_threshold = 64;
 
-/// Pause after a failed accept, mostly for want of descriptors.
+/// Delay after a failed accept, usually for lack of file descriptors.
 constexpr duration accept_retry_delay = std::chrono::milliseconds{50};
 } // namespace
 
 listener::listener(asio::io_context& context, std::shared_ptr<const caller_connection_callbacks> callbacks)
-	: callbacks_(std::move(callbacks)), acceptor_(context), accept_retry_timer_(context), removal_threshold_(min_removal_threshold)
+	: callbacks_(std::move(callbacks)), acceptor_(context), accept_retry_timer_(context),
+	  removal_threshold_(min_removal_threshold)
 {
 }
 
@@ -53,9 +56,9 @@
 				log::write(log::level::warn, "accept failed", {{"error", error.message()}});
 				accept_retry_timer_.expires_after(accept_retry_delay);
 				accept_retry_timer_.async_wait(
-					[this](const error_code& stopped)
+					[this](const error_code& cancelled)
 					{
-						if (!stopped)
+						if (!cancelled)
 						{
 							accept();
 						}
--- a/src/proxy/message.cpp
+++ b/src/proxy/message.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Header fields, their filtering, and the writing of messages.
+// Header fields, their validation and filtering, and serialization of messages.
 #include <algorithm>
 #include <array>
 #include <charconv>
@@ -14,7 +14,7 @@
 {
 constexpr std::string_view line_end = "\r\n";
 
-/// Fields that concern one connection only, and those that frame the body.
+/// Hop-by-hop fields, and the field that frames the body.
 constexpr std::array<std::string_view, 10> hop_by_hop_fields{"Connection", "Keep-Alive", "Proxy-Connection",
 	"Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length"};
@@ -36,8 +36,8 @@
 
 bool is_hop_by_hop(std::string_view name) noexcept
 {
-	return std::any_of(
-		hop_by_hop_fields.begin(), hop_by_hop_fields.end(), [name](std::string_view one) { return equals_ignore_case(one, name); });
+	return std::any_of(hop_by_hop_fields.begin(), hop_by_hop_fields.end(),
+		[name](std::string_view listed) { return equals_ignore_case(listed, name); });
 }
 
 void append_fields(std::string& out, const header_fields& fields)
@@ -51,7 +51,7 @@
 	}
 }
 
-/// What is wrong with one line of a header block, its end left off; the request line is the first.
+/// What is wrong with one line of a header block, without its line end. The first line is the request line.
 std::optional<std::string> find_line_fault(std::string_view line, bool is_first)
 {
 	const auto is_control_byte = [](char c)
@@ -83,7 +83,7 @@
 	return std::nullopt;
 }
 
-/// Counts of the fields that decide where a message ends and whom it is for.
+/// Counts of the fields that determine the length and the target host of a message.
 struct framing_fields
 {
 	unsigned lengths{};
@@ -92,22 +92,22 @@
 	bool is_plain_chunked{true};
 };
 
-void count_framing_fields(std::string_view line, framing_fields& into)
+void count_framing_fields(std::string_view line, framing_fields& counts)
 {
 	const auto colon = line.find(':');
 	const auto name = line.substr(0, colon);
 	if (equals_ignore_case(name, "Content-Length"))
 	{
-		++into.lengths;
+		++counts.lengths;
 	}
 	if (equals_ignore_case(name, "Host"))
 	{
-		++into.hosts;
+		++counts.hosts;
 	}
 	if (equals_ignore_case(name, "Transfer-Encoding"))
 	{
-		++into.encodings;
-		into.is_plain_chunked = equals_ignore_case(trim(line.substr(colon + 1)), "chunked");
+		++counts.encodings;
+		counts.is_plain_chunked = equals_ignore_case(trim(line.substr(colon + 1)), "chunked");
 	}
 }
 
@@ -141,8 +141,8 @@
 
 const std::string* find_field(const header_fields& fields, std::string_view name) noexcept
 {
-	const auto found = std::find_if(
-		fields.begin(), fields.end(), [name](const header_field& one) { return equals_ignore_case(one.name, name); });
+	const auto found = std::find_if(fields.begin(), fields.end(),
+		[name](const header_field& field) { return equals_ignore_case(field.name, name); });
 	return found == fields.end() ? nullptr : &found->value;
 }
 
@@ -162,23 +162,23 @@
 
 header_fields without_hop_by_hop_fields(const header_fields& fields)
 {
-	std::string named;
+	std::string connection_listed;
 	for (const auto& [name, value] : fields)
 	{
 		if (equals_ignore_case(name, "Connection"))
 		{
-			named += value + ",";
+			connection_listed += value + ",";
 		}
 	}
-	header_fields kept;
-	for (const auto& one : fields)
+	header_fields forwarded;
+	for (const auto& field : fields)
 	{
-		if (!is_hop_by_hop(one.name) && !has_token(named, one.name))
+		if (!is_hop_by_hop(field.name) && !has_token(connection_listed, field.name))
 		{
-			kept.push_back(one);
+			forwarded.push_back(field);
 		}
 	}
-	return kept;
+	return forwarded;
 }
 
 std::string_view request::path() const noexcept
@@ -217,19 +217,20 @@
 	return find_framing_fault(count);
 }
 
-std::string serialize_request(const request& what, const header_fields& fields)
+std::string serialize_request(const request& outgoing, const header_fields& fields)
 {
 	std::string out;
-	out.reserve(512 + what.body.size());
-	out += what.method + " " + what.target + " HTTP/1.1\r\n";
+	out.reserve(512 + outgoing.body.size());
+	out += outgoing.method + " " + outgoing.target + " HTTP/1.1\r\n";
 	append_fields(out, fields);
-	const bool may_be_empty = what.method == "GET" || what.method == "HEAD" || what.method == "DELETE";
-	if (!what.body.empty() || !may_be_empty)
+	const bool may_be_empty =
+		outgoing.method == "GET" || outgoing.method == "HEAD" || outgoing.method == "DELETE";
+	if (!outgoing.body.empty() || !may_be_empty)
 	{
-		out += "Content-Length: " + std::to_string(what.body.size()) + "\r\n";
+		out += "Content-Length: " + std::to_string(outgoing.body.size()) + "\r\n";
 	}
 	out += line_end;
-	out += what.body;
+	out += outgoing.body;
 	return out;
 }
 
--- a/src/proxy/prompt.cpp
+++ b/src/proxy/prompt.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What a request tells about its prompt.
+// Size and shared prefix of a request's prompt.
 #include <algorithm>
 #include <charconv>
 #include <gingerdyke/base/crypto.hpp>
@@ -16,7 +16,7 @@
 	return static_cast<double>(number);
 }
 
-/// Sum over parts written `ID:TOKENS,ID:TOKENS`.
+/// Sum of the tokens of segments in the form `ID:TOKENS,ID:TOKENS`.
 double tokens_of(std::string_view parts)
 {
 	double sum = 0;
--- a/src/proxy/replica_end_watch.cpp
+++ b/src/proxy/replica_end_watch.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Finds out that a replica's process has ended.
+// Detects that a replica's process has exited.
 #include <gingerdyke/proxy/replica_end_watch.hpp>
 
 namespace gingerdyke::proxy
 {
-/// One connection that carries nothing.
+/// A connection that carries no request.
 struct replica_exit_detector::probe
 {
 	explicit probe(asio::io_context& context) : socket(context), timer(context) {}
@@ -14,78 +14,80 @@
 	bool is_done{};
 };
 
-replica_exit_detector::replica_exit_detector(asio::io_context& context, hooks told, replica_exit_tuning tuning)
-	: context_(context), hooks_(std::move(told)), tuning_(tuning)
+replica_exit_detector::replica_exit_detector(
+	asio::io_context& context, hooks callbacks, replica_exit_tuning tuning)
+	: context_(context), hooks_(std::move(callbacks)), tuning_(tuning)
 {
 }
 
-void replica_exit_detector::note_broken_response(const routing::replica_ptr& at, instant now)
+void replica_exit_detector::note_broken_response(const routing::replica_ptr& target, instant now)
 {
-	if (const auto exit = presume(at, now))
+	if (const auto exited = presume(target, now))
 	{
-		begin_probe(*exit);
+		begin_probe(*exited);
 	}
 }
 
-void replica_exit_detector::note_refused_connection(const routing::replica_ptr& at, instant now)
+void replica_exit_detector::note_refused_connection(const routing::replica_ptr& target, instant now)
 {
-	if (const auto exit = presume(at, now))
+	if (const auto exited = presume(target, now))
 	{
-		resolve(*exit, true);
+		resolve(*exited, true);
 	}
 }
 
-/// \returns The likely end; none where it is known or looked for already.
-std::optional<replica_exit> replica_exit_detector::presume(const routing::replica_ptr& at, instant now)
+/// \returns The presumed exit; none if the exit is known or a probe is in progress.
+std::optional<replica_exit> replica_exit_detector::presume(const routing::replica_ptr& target, instant now)
 {
-	const auto life = runs_.life_of(*at);
-	if (runs_.has_ended(*at) || probed_lives_.contains(life))
+	const auto life = runs_.life_of(*target);
+	if (runs_.has_ended(*target) || probed_lives_.contains(life))
 	{
 		return std::nullopt;
 	}
-	replica_exit exit{at, life, runs_.running_at(*at, now)};
+	replica_exit exited{target, life, runs_.running_at(*target, now)};
 	recent_exits_.push_back({life, now});
-	hooks_.presumed(exit);
-	return exit;
+	hooks_.presumed(exited);
+	return exited;
 }
 
-void replica_exit_detector::begin_probe(const replica_exit& exit)
+void replica_exit_detector::begin_probe(const replica_exit& exited)
 {
 	error_code error;
-	const auto ip = asio::ip::make_address_v4(exit.replica->at.ip, error);
+	const auto ip = asio::ip::make_address_v4(exited.replica->at.ip, error);
 	if (error)
 	{
-		resolve(exit, false);
+		resolve(exited, false);
 		return;
 	}
-	probed_lives_.insert(exit.life);
-	const auto made = std::make_shared<probe>(context_);
-	const auto finish = [this, made, exit, alive = std::weak_ptr<bool>{alive_}](bool has_exited)
+	probed_lives_.insert(exited.life);
+	const auto pending_probe = std::make_shared<probe>(context_);
+	const auto finish = [this, pending_probe, exited, alive = std::weak_ptr<bool>{alive_}](bool has_exited)
 	{
-		if (alive.expired() || std::exchange(made->is_done, true))
+		if (alive.expired() || std::exchange(pending_probe->is_done, true))
 		{
 			return;
 		}
 		error_code ignored;
-		made->timer.cancel();
-		made->socket.close(ignored);
-		probed_lives_.erase(exit.life);
-		resolve(exit, has_exited);
+		pending_probe->timer.cancel();
+		pending_probe->socket.close(ignored);
+		probed_lives_.erase(exited.life);
+		resolve(exited, has_exited);
 	};
-	made->timer.expires_after(tuning_.connect_timeout);
-	made->timer.async_wait([finish](const error_code&) { finish(false); });
-	made->socket.async_connect({ip, exit.replica->at.port},
-		[finish](const error_code& failed) { finish(failed == asio::error::connection_refused); });
+	pending_probe->timer.expires_after(tuning_.connect_timeout);
+	pending_probe->timer.async_wait([finish](const error_code&) { finish(false); });
+	pending_probe->socket.async_connect({ip, exited.replica->at.port},
+		[finish](const error_code& connect_error)
+		{ finish(connect_error == asio::error::connection_refused); });
 }
 
-void replica_exit_detector::resolve(const replica_exit& exit, bool has_exited)
+void replica_exit_detector::resolve(const replica_exit& exited, bool has_exited)
 {
-	const bool is_new_exit = has_exited && runs_.note_ended(*exit.replica, steady_now());
+	const bool is_new_exit = has_exited && runs_.note_ended(*exited.replica, steady_now());
 	if (!is_new_exit)
 	{
-		std::erase_if(recent_exits_, [&](const recent_exit& one) { return one.life == exit.life; });
+		std::erase_if(recent_exits_, [&](const recent_exit& recent) { return recent.life == exited.life; });
 	}
-	hooks_.resolved(exit, is_new_exit, correlated_lives(steady_now()));
+	hooks_.resolved(exited, is_new_exit, correlated_lives(steady_now()));
 	for (const auto& hook : std::exchange(resolved_hooks_, {}))
 	{
 		hook();
@@ -94,13 +96,14 @@
 
 std::vector<quarantine::process_life> replica_exit_detector::correlated_lives(instant now)
 {
-	std::erase_if(recent_exits_, [&](const recent_exit& one) { return now - one.at > tuning_.correlation_window; });
+	std::erase_if(recent_exits_,
+		[&](const recent_exit& recent) { return now - recent.at > tuning_.correlation_window; });
 	std::vector<quarantine::process_life> lives;
 	if (recent_exits_.size() >= tuning_.min_correlated)
 	{
-		for (const auto& one : recent_exits_)
+		for (const auto& recent : recent_exits_)
 		{
-			lives.push_back(one.life);
+			lives.push_back(recent.life);
 		}
 	}
 	return lives;
--- a/src/proxy/replica_statements.cpp
+++ b/src/proxy/replica_statements.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What a replica says of itself in the head of an answer.
+// Statements of a replica about itself in the headers of a response.
 #include <algorithm>
 #include <charconv>
 #include <cmath>
@@ -15,7 +15,7 @@
 {
 constexpr int unavailable = 503;
 
-/// A decimal number from 0 on; none: it is something else.
+/// Parses a non-negative finite decimal number; none if the text is anything else.
 std::optional<double> parse_non_negative(const std::string& text)
 {
 	double value = 0;
@@ -25,8 +25,9 @@
 	return is_whole && std::isfinite(value) && value >= 0 ? std::optional{value} : std::nullopt;
 }
 
-/// A time to come back: seconds with decimals, or a date. Dates that have passed are no time at all.
-std::optional<duration> parse_retry_after(const std::string& text, std::chrono::system_clock::time_point time_of_day)
+/// Parses `Retry-After`: seconds, with decimals, or a date. A date in the past gives 0.
+std::optional<duration> parse_retry_after(
+	const std::string& text, std::chrono::system_clock::time_point time_of_day)
 {
 	if (const auto seconds = parse_non_negative(text))
 	{
@@ -48,7 +49,8 @@
 
 bool is_unknown(const std::string& name, const header_names& names)
 {
-	const auto begins_name = [&](const std::string& prefix) {
+	const auto begins_name = [&](const std::string& prefix)
+	{
 		return name.size() > prefix.size() &&
 			   equals_ignore_case(std::string_view{name}.substr(0, prefix.size()), prefix);
 	};
@@ -59,7 +61,7 @@
 		   std::none_of(known.begin(), known.end(), is_same);
 }
 
-void read_field(replica_statements& into, const header_field& field, bool is_refusal,
+void read_field(replica_statements& result, const header_field& field, bool is_refusal,
 	const header_names& names, std::chrono::system_clock::time_point time_of_day)
 {
 	if (equals_ignore_case(field.name, names.load_limit))
@@ -67,28 +69,28 @@
 		const auto limit = parse_non_negative(field.value);
 		if (!limit)
 		{
-			into.unreadable = field.value;
+			result.unreadable = field.value;
 			return;
 		}
-		into.load_limit = std::min(into.load_limit.value_or(*limit), *limit);
+		result.load_limit = std::min(result.load_limit.value_or(*limit), *limit);
 	}
 	else if (equals_ignore_case(field.name, names.leaving))
 	{
-		into.is_draining = into.is_draining || field.value == "1";
+		result.is_draining = result.is_draining || field.value == "1";
 	}
 	else if (is_refusal && equals_ignore_case(field.name, "Retry-After"))
 	{
 		const auto wait = parse_retry_after(field.value, time_of_day);
 		if (!wait)
 		{
-			into.unreadable = field.value;
+			result.unreadable = field.value;
 			return;
 		}
-		into.backoff = std::max(into.backoff.value_or(*wait), *wait);
+		result.backoff = std::max(result.backoff.value_or(*wait), *wait);
 	}
 	else if (is_unknown(field.name, names))
 	{
-		into.unknown.push_back(field.name);
+		result.unknown.push_back(field.name);
 	}
 }
 } // namespace
@@ -98,9 +100,9 @@
 {
 	replica_statements read;
 	const bool is_refusal = head.status == unavailable;
-	for (const auto& one : head.fields)
+	for (const auto& entry : head.fields)
 	{
-		read_field(read, one, is_refusal, names, time_of_day);
+		read_field(read, entry, is_refusal, names, time_of_day);
 	}
 	read.has_unreadable_limit = !read.load_limit && find_field(head.fields, names.load_limit) != nullptr;
 	return read;
--- a/src/proxy/request_log.cpp
+++ b/src/proxy/request_log.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One line for each request that matters.
+// Logs how requests ended, within a rate limit.
 #include <gingerdyke/log/log.hpp>
 #include <gingerdyke/metrics/text_format.hpp>
 #include <gingerdyke/proxy/request_log.hpp>
@@ -49,7 +49,8 @@
 		{{"request", record.id}, {"content", record.content_key}, {"route", record.route},
 			{"workspace", record.workspace}, {"replica", record.replica}, {"version", record.version},
 			{"model", record.model}, {"outcome", name_of(record.outcome)}, {"status", record.status},
-			{"reason", record.reason}, {"attempts", record.attempts}, {"took_ms", to_milliseconds(record.elapsed)},
+			{"reason", record.reason}, {"attempts", record.attempts},
+			{"took_ms", to_milliseconds(record.elapsed)},
 			{"first_byte_ms", to_milliseconds(record.first_byte)}, {"confidence", choice.confidence},
 			{"escalate_below", choice.threshold}, {"larger_expected_ms", to_milliseconds(choice.expected)},
 			{"config", record.config_version}, {"config_age_ms", to_milliseconds(record.config_age)},
--- a/src/proxy/request_metrics.cpp
+++ b/src/proxy/request_metrics.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Counters of how requests end, and histograms of their times.
+// Counters of requests by outcome, and latency histograms.
 #include <gingerdyke/metrics/text_format.hpp>
 #include <gingerdyke/proxy/request_log.hpp>
 #include <gingerdyke/proxy/request_metrics.hpp>
@@ -48,10 +48,10 @@
 	{
 		return;
 	}
-	for (auto* of : {&by_workspace_[record.workspace], &by_route_[record.route]})
+	for (auto* latencies : {&by_workspace_[record.workspace], &by_route_[record.route]})
 	{
-		of->total.add(static_cast<double>(record.elapsed.count()));
-		of->first_byte.add(static_cast<double>(record.first_byte.count()));
+		latencies->total.add(static_cast<double>(record.elapsed.count()));
+		latencies->first_byte.add(static_cast<double>(record.first_byte.count()));
 	}
 }
 
--- a/src/proxy/unknown_statements.cpp
+++ b/src/proxy/unknown_statements.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-// Statements that this program does not know.
+// Counts statements with unknown names.
 #include <gingerdyke/proxy/unknown_statements.hpp>
 
 namespace gingerdyke::proxy
 {
 namespace
 {
-/// A faulty replica may make up names: no more than these are kept and told.
+/// A faulty replica may invent names without end; no more than this are stored and reported.
 constexpr std::size_t max_names = 64;
 constexpr std::size_t max_name_length = 80;
 } // namespace
@@ -28,10 +28,10 @@
 void unknown_statements::note(statement_source source, std::string_view name, const std::string& sender)
 {
 	++count_;
-	const std::string kept{name.substr(0, max_name_length)};
-	if (names_.size() < max_names && names_.insert(std::string{name_of(source)} + " " + kept).second)
+	const std::string truncated{name.substr(0, max_name_length)};
+	if (names_.size() < max_names && names_.insert(std::string{name_of(source)} + " " + truncated).second)
 	{
-		new_name_hook_(source, kept, sender);
+		new_name_hook_(source, truncated, sender);
 	}
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/upstream_link.cpp
+++ b/src/proxy/upstream_link.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One connection to a replica.
+// An HTTP/1.1 connection to a replica.
 #include <charconv>
 #include <gingerdyke/proxy/upstream_link.hpp>
 #include <limits>
@@ -8,11 +8,11 @@
 {
 namespace
 {
-/// Bytes asked for by one read; a whole answer of a plain service mostly fits. Each connection holds as many,
-/// idle ones too, and a VM has a hundred and more.
+/// Buffer size of one read, enough for most complete responses of a plain service. Every connection, even an
+/// idle one, holds a buffer of this size, and a VM has more than a hundred.
 constexpr std::size_t read_size = 2048;
 
-/// Largest head of an answer, in bytes; the users' replicas send a few hundred.
+/// Maximum size of a response head in bytes; the users' replicas send a few hundred.
 constexpr std::uint32_t max_head_bytes = 65536;
 
 constexpr int first_success = 200;
@@ -54,14 +54,15 @@
 	return "unknown";
 }
 
-upstream_connection::upstream_connection(asio::io_context& context, routing::replica_ptr to, std::string id_field)
-	: context_(context), to_(std::move(to)), id_field_(std::move(id_field)), socket_(context)
+upstream_connection::upstream_connection(
+	asio::io_context& context, routing::replica_ptr to, std::string id_field)
+	: context_(context), target_(std::move(to)), id_field_(std::move(id_field)), socket_(context)
 {
 }
 
-void upstream_connection::send(upstream_request what, upstream_callbacks callbacks)
+void upstream_connection::send(upstream_request outgoing, upstream_callbacks callbacks)
 {
-	request_ = std::move(what);
+	request_ = std::move(outgoing);
 	callbacks_ = std::make_shared<const upstream_callbacks>(std::move(callbacks));
 	busy_ = true;
 	request_written_ = false;
@@ -93,22 +94,22 @@
 void upstream_connection::connect()
 {
 	error_code error;
-	const auto ip = asio::ip::make_address_v4(to_->at.ip, error);
+	const auto ip = asio::ip::make_address_v4(target_->at.ip, error);
 	if (error)
 	{
 		asio::post(context_, [self = shared_from_this()] { self->fail(upstream_fault::not_connected); });
 		return;
 	}
-	socket_.async_connect({ip, to_->at.port},
-		[self = shared_from_this()](const error_code& failed)
+	socket_.async_connect({ip, target_->at.port},
+		[self = shared_from_this()](const error_code& connect_error)
 		{
 			if (self->closed_)
 			{
 				return;
 			}
-			if (failed)
+			if (connect_error)
 			{
-				const bool is_refused = failed == asio::error::connection_refused;
+				const bool is_refused = connect_error == asio::error::connection_refused;
 				self->fail(is_refused ? upstream_fault::connect_refused : upstream_fault::not_connected);
 				return;
 			}
@@ -127,12 +128,12 @@
 void upstream_connection::write()
 {
 	set_unacknowledged_timeout(socket_, request_.unacknowledged_timeout);
-	// The bytes outlive the call even where the link is given up meanwhile.
+	// Keeps the bytes alive during the write, even if the connection is closed meanwhile.
 	const auto bytes = std::make_shared<std::string>(std::move(request_.bytes));
 	asio::async_write(socket_, asio::buffer(*bytes),
 		[self = shared_from_this(), bytes](const error_code& error, std::size_t)
 		{
-			// A failed write is told by the read: an answer may have come before the connection broke.
+			// A write error is reported by the read: a response may have arrived before the connection broke.
 			self->request_written_ = !error;
 		});
 }
@@ -153,7 +154,8 @@
 	buffer_.commit(size);
 	if (!busy_)
 	{
-		// Nothing is due on an idle connection: neither its end nor bytes leave it fit for use.
+		// No data is expected on an idle connection: whether it was closed or has received bytes, it can't be
+		// reused.
 		const auto on_idle_closed = std::move(idle_close_hook_);
 		close();
 		if (on_idle_closed)
@@ -184,8 +186,8 @@
 bool upstream_connection::parse_next()
 {
 	error_code error;
-	const auto used = parser_->put(buffer_.data(), error);
-	buffer_.consume(used);
+	const auto consumed = parser_->put(buffer_.data(), error);
+	buffer_.consume(consumed);
 	if (error && error != beast::http::error::need_more)
 	{
 		fail(upstream_fault::invalid_response);
@@ -215,20 +217,20 @@
 		finish();
 		return true;
 	}
-	return used > 0;
+	return consumed > 0;
 }
 
 void upstream_connection::start_parser()
 {
 	parser_.emplace();
-	// `none` would refuse every answer that states a length in this version of Beast.
+	// In this version of Beast, `boost::none` would reject every response with a `Content-Length`.
 	parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
 	parser_->header_limit(max_head_bytes);
 	parser_->eager(true);
 	parser_->skip(request_.is_head);
 }
 
-/// \returns False where the head is not handed on: what follows is read again from the start.
+/// \returns False if the head is not passed on: it was informational, or the connection was closed.
 bool upstream_connection::on_head()
 {
 	auto head = head_of(*parser_);
@@ -268,21 +270,23 @@
 		fail(upstream_fault::not_connected);
 		return;
 	}
-	fail(head_delivered_ && !skipping_stale_response_ ? upstream_fault::truncated_response : upstream_fault::no_response);
+	fail(head_delivered_ && !skipping_stale_response_ ? upstream_fault::truncated_response
+													  : upstream_fault::no_response);
 }
 
 void upstream_connection::finish()
 {
 	if (skipping_stale_response_)
 	{
-		// The answer to an earlier request came late; ours is still due.
+		// This was a late response to an earlier request; the one to the current request is still to come.
 		skipping_stale_response_ = false;
 		head_delivered_ = false;
 		start_parser();
 		return;
 	}
 	++responses_;
-	// An answer that came before the request was sent, or more bytes than the answer has, end the connection.
+	// A connection is not reused if the response came before the request was sent, or was followed by further
+	// bytes.
 	reusable_ = reusable_ && request_written_ && buffer_.size() == 0;
 	busy_ = false;
 	const auto callbacks = std::exchange(callbacks_, nullptr);
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Connections to replicas, kept for reuse.
+// Pool of connections to replicas.
 #include <algorithm>
 #include <gingerdyke/proxy/upstream_pool.hpp>
 
@@ -13,13 +13,13 @@
 std::shared_ptr<upstream_connection> upstream_pool::acquire(
 	const routing::replica_ptr& to, bool may_run_again, instant now)
 {
-	auto& known = entry_of(*to);
-	++known.in_use;
-	// The one used last is the least likely to be dead.
-	while (!known.idle_connections.empty())
+	auto& pooled = entry_of(*to);
+	++pooled.in_use;
+	// The most recently used connection is the least likely to be dead.
+	while (!pooled.idle_connections.empty())
 	{
-		const auto last = std::move(known.idle_connections.back());
-		known.idle_connections.pop_back();
+		const auto last = std::move(pooled.idle_connections.back());
+		pooled.idle_connections.pop_back();
 		if (is_usable(last, may_run_again, now))
 		{
 			return last.connection;
@@ -29,7 +29,8 @@
 	return std::make_shared<upstream_connection>(context_, to, id_field_);
 }
 
-/// The connections to a replica's process; those to the one before under its id are of no use.
+/// The entry for a replica's current process. Connections to the previous process under the same id are
+/// discarded.
 upstream_pool::entry& upstream_pool::entry_of(const routing::replica& to)
 {
 	const auto found = entries_.find(to.id);
@@ -41,11 +42,11 @@
 	return entries_.try_emplace(to.id, entry{to.incarnation, {}, 0}).first->second;
 }
 
-void upstream_pool::close_idle(entry& of)
+void upstream_pool::close_idle(entry& target_entry)
 {
-	for (const auto& one : std::exchange(of.idle_connections, {}))
+	for (const auto& candidate : std::exchange(target_entry.idle_connections, {}))
 	{
-		one.connection->close();
+		candidate.connection->close();
 	}
 }
 
@@ -71,8 +72,9 @@
 unsigned upstream_pool::connection_count(const replica_id& id) const
 {
 	const auto found = entries_.find(id);
-	return found == entries_.end() ? 0
-								   : found->second.in_use + static_cast<unsigned>(found->second.idle_connections.size());
+	return found == entries_.end()
+			   ? 0
+			   : found->second.in_use + static_cast<unsigned>(found->second.idle_connections.size());
 }
 
 std::size_t upstream_pool::idle_count(const replica_id& id) const
@@ -95,16 +97,16 @@
 	}
 }
 
-bool upstream_pool::is_usable(const idle_connection& one, bool may_run_again, instant now) const
+bool upstream_pool::is_usable(const idle_connection& candidate, bool may_run_again, instant now) const
 {
-	const auto idle = now - one.since;
+	const auto idle = now - candidate.since;
 	if (!may_run_again && idle > tuning_.max_trusted_idle)
 	{
 		return false;
 	}
-	const auto kept = one.connection->keep_alive_time();
-	return !kept ||
-		   static_cast<double>(idle.count()) < static_cast<double>(kept->count()) * tuning_.keep_alive_factor;
+	const auto keep_alive = candidate.connection->keep_alive_time();
+	return !keep_alive || static_cast<double>(idle.count()) <
+							  static_cast<double>(keep_alive->count()) * tuning_.keep_alive_factor;
 }
 
 void upstream_pool::remove_idle(const replica_id& id, const upstream_connection* connection)
@@ -112,7 +114,8 @@
 	const auto found = entries_.find(id);
 	if (found != entries_.end())
 	{
-		std::erase_if(found->second.idle_connections, [connection](const idle_connection& one) { return one.connection.get() == connection; });
+		std::erase_if(found->second.idle_connections, [connection](const idle_connection& candidate)
+			{ return candidate.connection.get() == connection; });
 	}
 }
 } // namespace gingerdyke::proxy
