--- a/tests/proxy/caller_link.cpp
+++ b/tests/proxy/caller_link.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What callers may send: framing, limits, pipelining.
+// Connections of callers: framing, limits and pipelining.
 #include "../support/proxy_world.hpp"
 
 using namespace gingerdyke;
@@ -14,7 +14,7 @@
 }
 } // namespace
 
-TEST_CASE("ambiguous requests are refused, and nothing of them reaches a replica", "[caller]")
+TEST_CASE("ambiguous requests are refused and do not reach a replica", "[caller]")
 {
 	const std::string head = "POST /safe/a HTTP/1.1\r\nHost: example\r\nRequest-Id: q1\r\n";
 	const auto bytes = GENERATE_COPY(head + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
@@ -37,7 +37,7 @@
 	CHECK(replica.requests().empty());
 }
 
-TEST_CASE("a body in chunks reaches the replica whole", "[caller]")
+TEST_CASE("a chunked request body reaches the replica complete", "[caller]")
 {
 	proxy_world world;
 	scripted_replica replica{world.context, echo_path};
@@ -62,7 +62,7 @@
 	CHECK(replica.requests().size() == 3);
 }
 
-TEST_CASE("limits on header and body", "[caller]")
+TEST_CASE("requests beyond the limits on header and body size are refused", "[caller]")
 {
 	proxy_world world;
 	scripted_replica replica{world.context, echo_path};
@@ -82,7 +82,7 @@
 	CHECK(caller.received().starts_with("HTTP/1.1 408 "));
 }
 
-TEST_CASE("a caller that asks to close is closed after its answer", "[caller]")
+TEST_CASE("a connection with Connection: close is closed after the response", "[caller]")
 {
 	proxy_world world;
 	scripted_replica replica{world.context, echo_path};
--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// A caller's request crashed each engine that began to run it, and the caller asked again and again, at any
-// VM. Each repeat was a new request to the router: it went to as many replicas as its route has attempts, and
-// ended them. In a deployment of 7 VMs and 18 engines 68 engines ended under one request within 20 s, and of
-// 87 requests in the worst second 28 were answered in time.
+// A request that crashes each engine that runs it must not be sent on and on. Without a quarantine every
+// repetition by the caller, on any VM, was a new request that crashed as many replicas as its route has
+// attempts: in a deployment of 7 VMs and 18 engines, one request crashed 68 engines within 20 s, and in the
+// worst second 28 of 87 requests were served in time.
 #include "../support/controlled_vm.hpp"
 #include "../support/crashing_fleet.hpp"
 #include <sstream>
@@ -12,9 +12,9 @@
 
 namespace
 {
-constexpr std::size_t ends_allowed = 3;
+constexpr std::size_t max_exits = 3;
 
-scripted_answer answer_well(const std::string&)
+scripted_answer respond_ok(const std::string&)
 {
 	return {answer_with("200 OK", "well")};
 }
@@ -36,12 +36,12 @@
 	return out.str();
 }
 
-bool holds_one(proxy_world& world)
+bool has_one_held_request(proxy_world& world)
 {
 	return metrics_of(world).find("\ngingerdyke_requests_held 1\n") != std::string::npos;
 }
 
-/// One route that may not be repeated, to the service of the fleet.
+/// One route that is not repeatable, to the service of the fleet.
 json configuration()
 {
 	return {{"version", 1},
@@ -54,13 +54,14 @@
 					   {"idle_timeout_ms", 10000}}}};
 }
 
-json entry_of(const scripted_replica& one)
+json entry_of(const scripted_replica& instance)
 {
-	return {{"service", "plain"}, {"address", one.at().str()}, {"zone", "a"}, {"version", "v1"}, {"slots", 4},
-		{"state", "ready"}, {"sequence", 1}};
+	return {{"service", "plain"}, {"address", instance.at().str()}, {"zone", "a"}, {"version", "v1"},
+		{"slots", 4}, {"state", "ready"}, {"sequence", 1}};
 }
 
-/// Several VMs, each on a loop of its own, over one registry; the replicas are on the first one's loop.
+/// Several VMs, each on an event loop of its own, with one registry. The replicas run on the event loop of
+/// `home`.
 struct deployment
 {
 	explicit deployment(std::size_t vms)
@@ -106,34 +107,35 @@
 		return caller.received();
 	}
 
-	/// The loop of the registry and of the replicas.
+	/// Event loop of the registry and the replicas.
 	proxy_world home;
 	platform::standin::registry registry{home.context};
-	crashing_fleet fleet{home.context, 16, answer_well};
+	crashing_fleet fleet{home.context, 16, respond_ok};
 	std::vector<std::unique_ptr<proxy_world>> worlds;
 	std::vector<std::unique_ptr<controlled_vm>> controls;
 };
 } // namespace
 
-TEST_CASE("a request under which three replicas ended is sent to no other, however often it comes again",
+TEST_CASE("a request that crashed three replicas is sent to no other replica, however often it is repeated",
 	"[quarantine]")
 {
 	proxy_world world;
-	crashing_fleet fleet{world.context, 10, answer_well};
+	crashing_fleet fleet{world.context, 10, respond_ok};
 	world.start(plain_replicas(fleet));
 	std::string answer;
 	for (int i = 0; i < 6; ++i)
 	{
 		answer = world.ask(request_to("POST", "/safe/a", crashing_body));
 	}
-	CHECK(fleet.crashed() <= ends_allowed);
-	// It is final, and does not ask the caller to come back.
+	CHECK(fleet.crashed() <= max_exits);
+	// The response is final: it does not ask the caller to retry.
 	CHECK(answer.starts_with("HTTP/1.1 502 "));
 	CHECK(answer.find("Retry-After") == std::string::npos);
 	CHECK(world.ask(request_to("POST", "/safe/a", "another prompt")).ends_with("well"));
 }
 
-TEST_CASE("what three VMs saw of a request one by one holds it at all of them, and at one that starts later",
+TEST_CASE("a request that crashed one replica through each of three VMs is held on all VMs, including one "
+		  "that starts later",
 	"[quarantine]")
 {
 	deployment vms{3};
@@ -142,28 +144,27 @@
 		const auto answer = vms.ask(vm, request_to("POST", "/unsafe/a", crashing_body));
 		CHECK(answer.starts_with("HTTP/1.1 502 "));
 	}
-	CHECK(vms.fleet.crashed() == ends_allowed);
+	CHECK(vms.fleet.crashed() == max_exits);
 	vms.run_until(
 		[&]
 		{
-			return std::all_of(
-				vms.worlds.begin(), vms.worlds.end(), [](const auto& world) { return holds_one(*world); });
+			return std::all_of(vms.worlds.begin(), vms.worlds.end(),
+				[](const auto& world) { return has_one_held_request(*world); });
 		});
 	vms.add_vm();
-	vms.run_until([&] { return holds_one(*vms.worlds.back()); });
+	vms.run_until([&] { return has_one_held_request(*vms.worlds.back()); });
 	for (std::size_t vm = 0; vm < 4; ++vm)
 	{
 		const auto answer = vms.ask(vm, request_to("POST", "/unsafe/a", crashing_body));
 		CHECK(answer.starts_with("HTTP/1.1 502 "));
 	}
-	CHECK(vms.fleet.crashed() == ends_allowed);
+	CHECK(vms.fleet.crashed() == max_exits);
 }
 
-TEST_CASE(
-	"replicas that end after they said that they leave do not speak against what ran there", "[quarantine]")
+TEST_CASE("exits of draining replicas do not count against the requests that ran on them", "[quarantine]")
 {
 	proxy_world world;
-	crashing_fleet fleet{world.context, 6, answer_well};
+	crashing_fleet fleet{world.context, 6, respond_ok};
 	world.start(plain_replicas(fleet));
 	fleet.before_crash(
 		[&](std::size_t index)
@@ -179,31 +180,33 @@
 	}
 }
 
-// Replicas that crashed were back after 1.2 s, and the same request reached them within the 0.15 s before the
-// VMs knew their new entries. The VMs took them for the processes whose ends they had noted, and counted
-// nothing: 14 replicas ended under one request, 4 of them later than 3 s after the third. The lines of the
-// second time name nobody: "replica ended", r0, 0 requests, after "replica", r0, restarted.
-TEST_CASE("a replica that is back and ends again under a request counts again before its new entry is known",
+// A crashed replica restarted after 1.2 s, and the same request reached it within the 0.15 s before the VMs
+// knew its new registry entry. They took it for the process whose exit they had recorded and did not count
+// the second crash: one request crashed 14 replicas, 4 of them more than 3 s after the third. The log showed
+// the replica as restarted, then exited with 0 requests.
+TEST_CASE(
+	"a restarted replica that crashes under a request again counts again, even before its new entry is known",
 	"[quarantine]")
 {
 	proxy_world world;
-	crashing_fleet fleet{world.context, 1, answer_well};
+	crashing_fleet fleet{world.context, 1, respond_ok};
 	world.start(plain_replicas(fleet));
-	std::size_t ends = 0;
+	std::size_t exits = 0;
 	for (int i = 0; i < 6; ++i)
 	{
 		static_cast<void>(world.ask(request_to("POST", "/unsafe/a", crashing_body)));
 		if (fleet.at(0).has_crashed())
 		{
-			++ends;
+			++exits;
 			fleet.restart(0);
 		}
 	}
-	CHECK(ends == ends_allowed);
-	CHECK(holds_one(world));
+	CHECK(exits == max_exits);
+	CHECK(has_one_held_request(world));
 }
 
-TEST_CASE("two requests that the next end would hold back are not sent to one replica", "[quarantine]")
+TEST_CASE(
+	"two requests that would be held after one more exit are not sent to the same replica", "[quarantine]")
 {
 	proxy_world world;
 	scripted_replica first{world.context, [](const std::string&) { return scripted_answer{}; }};
@@ -223,7 +226,7 @@
 	scripted_caller b{world.context, world.port()};
 	a.send(request_to("POST", "/unsafe/a", "one"));
 	world.run_until([&] { return first.requests().size() + second.requests().size() == 1; });
-	// The other replica has more to do: by load alone it would not be chosen.
+	// The free replica is given more load, so that it would not be chosen by load alone.
 	const auto free = replica_id{first.requests().empty() ? "r0" : "r1"};
 	for (int i = 0; i < 3; ++i)
 	{
--- a/tests/proxy/evacuated_domain.cpp
+++ b/tests/proxy/evacuated_domain.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Requests under way when their failure domain is evacuated: what is sent again goes elsewhere.
+// Requests in progress when their failure domain is evacuated: retries must go to another failure domain.
 #include "../support/proxy_world.hpp"
 
 using namespace gingerdyke;
@@ -8,65 +8,65 @@
 namespace
 {
 routing::replica entry_of(
-	const char* id, const char* domain, const char* service, const scripted_replica& one)
+	const char* id, const char* domain, const char* service, const scripted_replica& instance)
 {
 	routing::replica entry;
 	entry.id = replica_id{id};
 	entry.service = service_id{service};
-	entry.at = one.at();
+	entry.at = instance.at();
 	entry.domain = failure_domain_id{domain};
 	entry.version = "v1";
 	return entry;
 }
 
-/// Two replicas of one failure domain, which is evacuated as soon as the first of them has a request, and one
-/// of another.
-struct evacuated_while_asked
+/// Two replicas of a failure domain that is evacuated as soon as a replica receives a request, and one
+/// replica of another failure domain.
+struct evacuation_during_request
 {
-	evacuated_while_asked(
+	evacuation_during_request(
 		const char* service, const scripted_answer& first_answer, const scripted_answer& later_answer)
 		: answer{[this, first_answer, later_answer](const std::string&)
 			  {
-				  const bool is_first = asked++ == 0;
+				  const bool is_first = request_count++ == 0;
 				  world.gateway().evacuated().add(failure_domain_id{"b"});
 				  return is_first ? first_answer : later_answer;
 			  }},
-		  first{world.context, answer}, beside{world.context, answer}, elsewhere{world.context, answer}
+		  first{world.context, answer}, sibling{world.context, answer}, other{world.context, answer}
 	{
 		world.start({});
 		world.gateway().set_replicas(
-			{entry_of("r0", "b", service, first), entry_of("r1", "b", service, beside),
-				entry_of("r2", "c", service, elsewhere)},
+			{entry_of("r0", "b", service, first), entry_of("r1", "b", service, sibling),
+				entry_of("r2", "c", service, other)},
 			proxy::steady_now());
 	}
 
 	proxy_world world;
-	int asked = 0;
+	int request_count = 0;
 	scripted_replica::script answer;
 	scripted_replica first;
-	scripted_replica beside;
-	scripted_replica elsewhere;
+	scripted_replica sibling;
+	scripted_replica other;
 };
 } // namespace
 
-TEST_CASE("a stream that breaks after its failure domain was evacuated goes on in another one",
+TEST_CASE("a stream that breaks after its failure domain was evacuated is resumed in another failure domain",
 	"[exchange][evacuation]")
 {
-	evacuated_while_asked of{"engine", {stream_head() + event_chunk(1), true, false},
+	evacuation_during_request fixture{"engine", {stream_head() + event_chunk(1), true, false},
 		{stream_head() + event_chunk(2) + "0\r\n\r\n"}};
-	scripted_caller caller{of.world.context, of.world.port()};
+	scripted_caller caller{fixture.world.context, fixture.world.port()};
 	caller.send(request_to("POST", "/stream/a", "p", "Model: *\r\n"));
-	of.world.run_until([&] { return caller.received().ends_with("0\r\n\r\n"); });
-	CHECK(of.first.requests().size() == 1);
-	CHECK(of.beside.requests().empty());
-	CHECK(of.elsewhere.requests().size() == 1);
+	fixture.world.run_until([&] { return caller.received().ends_with("0\r\n\r\n"); });
+	CHECK(fixture.first.requests().size() == 1);
+	CHECK(fixture.sibling.requests().empty());
+	CHECK(fixture.other.requests().size() == 1);
 }
 
-TEST_CASE(
-	"a second attempt does not go to a failure domain that was evacuated meanwhile", "[exchange][evacuation]")
+TEST_CASE("a retry is not sent to a failure domain that was evacuated during the first attempt",
+	"[exchange][evacuation]")
 {
-	evacuated_while_asked of{"plain", {answer_with("500 Broken", "")}, {answer_with("200 OK", "x")}};
-	CHECK(of.world.ask(request_to("GET", "/safe/a")).starts_with("HTTP/1.1 200 "));
-	CHECK(of.beside.requests().empty());
-	CHECK(of.first.requests().size() + of.elsewhere.requests().size() == 2);
+	evacuation_during_request fixture{"plain", {answer_with("500 Broken", "")}, {answer_with("200 OK", "x")}};
+	CHECK(fixture.world.ask(request_to("GET", "/safe/a")).starts_with("HTTP/1.1 200 "));
+	CHECK(fixture.sibling.requests().empty());
+	CHECK(fixture.first.requests().size() + fixture.other.requests().size() == 2);
 }
--- a/tests/proxy/event_stream.cpp
+++ b/tests/proxy/event_stream.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-// Whole events out of pieces, and their ids.
+// Parsing of server-sent events from arbitrarily split input, and checks of their ids.
 #include <catch2/catch.hpp>
 #include <gingerdyke/proxy/event_stream.hpp>
 
 using gingerdyke::proxy::event_stream;
 
-TEST_CASE("events are the same however their bytes are cut", "[events]")
+TEST_CASE("events are parsed alike however the stream is split", "[events]")
 {
 	const std::string bytes = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n";
 	const auto cut = GENERATE(range(std::size_t{1}, std::size_t{47}));
@@ -25,7 +25,7 @@
 	CHECK(stream.at_event_boundary());
 }
 
-TEST_CASE("ids that skip, repeat or go back break a stream", "[events]")
+TEST_CASE("skipped, repeated or decreasing event ids break a stream", "[events]")
 {
 	const auto next = GENERATE(1, 2, 4, 0);
 	event_stream stream{std::uint64_t{2}};
@@ -33,7 +33,7 @@
 	CHECK(stream.last_id() == 2);
 }
 
-TEST_CASE("half an event is not between events until it is dropped", "[events]")
+TEST_CASE("a stream is not at an event boundary until an incomplete event is dropped", "[events]")
 {
 	event_stream stream;
 	CHECK(stream.feed("id: 7\nda").events.empty());
@@ -42,7 +42,7 @@
 	CHECK(stream.at_event_boundary());
 }
 
-TEST_CASE("an event that grows too large breaks a stream", "[events]")
+TEST_CASE("an event above the size limit breaks a stream", "[events]")
 {
 	event_stream stream{{}, 16};
 	CHECK(stream.feed("data: 0123456789abcdef").is_broken);
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One request over its attempts: what callers are told, and what replicas get.
+// Requests across their attempts: what callers and replicas receive.
 #include "../support/proxy_world.hpp"
 
 using namespace gingerdyke;
@@ -7,7 +7,7 @@
 
 namespace
 {
-scripted_replica::script answers(std::string bytes)
+scripted_replica::script respond_with(std::string bytes)
 {
 	return [bytes = std::move(bytes)](const std::string&) { return scripted_answer{bytes}; };
 }
@@ -18,10 +18,10 @@
 }
 } // namespace
 
-TEST_CASE("an answer comes back unchanged, and the request reaches the replica unchanged", "[exchange]")
+TEST_CASE("requests and responses are forwarded unchanged", "[exchange]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers(answer_with("201 Made", "hello", "X-Other: 1\r\n"))};
+	scripted_replica replica{world.context, respond_with(answer_with("201 Made", "hello", "X-Other: 1\r\n"))};
 	world.start({{"plain", &replica}});
 	const auto answer = world.ask(request_to("POST", "/unsafe/a?b=%20c", "body",
 		"X-Kept: 1\r\nConnection: X-Hop\r\nX-Hop: 2\r\nHold: forged\r\nWorkspace: forged\r\nPriority: "
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE(
-	"a request that may not be repeated is sent once, and its loss is not called a refusal", "[exchange]")
+	"a request that is not repeatable is sent once, and its loss is not reported as a refusal", "[exchange]")
 {
 	proxy_world world;
 	scripted_replica first{world.context, [](const std::string&) {
@@ -58,37 +58,37 @@
 	CHECK(first.requests().size() + second.requests().size() == 1);
 }
 
-TEST_CASE("a time limit with the request at a replica is not called a refusal", "[exchange]")
+TEST_CASE("a timeout while a replica has the request is not reported as a refusal", "[exchange]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers("")};
+	scripted_replica replica{world.context, respond_with("")};
 	world.start({{"plain", &replica}});
 	const auto answer = world.ask(request_to("POST", "/unsafe/a", "body", "Deadline-Ms: 100\r\n"));
 	CHECK(answer.starts_with("HTTP/1.1 504 "));
 	CHECK(replica.requests().size() == 1);
 }
 
-TEST_CASE("a replica that says that it did not run a request leaves it to another", "[exchange]")
+TEST_CASE("a request that a replica did not run is sent to another replica", "[exchange]")
 {
 	proxy_world world;
-	int asked = 0;
+	int request_count = 0;
 	const auto script = [&](const std::string&)
 	{
-		return scripted_answer{
-			++asked == 1 ? answer_with("503 Full", "", "Not-Run: 1\r\n") : answer_with("200 OK", "x")};
+		return scripted_answer{++request_count == 1 ? answer_with("503 Full", "", "Not-Run: 1\r\n")
+													: answer_with("200 OK", "x")};
 	};
 	scripted_replica first{world.context, script};
 	scripted_replica second{world.context, script};
 	world.data.routes.front().attempts = 2;
 	world.start({{"plain", &first}, {"plain", &second}});
 	CHECK(world.ask(request_to("POST", "/unsafe/a", "body")).starts_with("HTTP/1.1 200 "));
-	CHECK(asked == 2);
+	CHECK(request_count == 2);
 }
 
-TEST_CASE("a refusal by the only replica is a refusal with the time to come back", "[exchange]")
+TEST_CASE("a refusal by the only replica is reported as a refusal with Retry-After", "[exchange]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers(answer_with("503 Full", "", "Not-Run: 1\r\n"))};
+	scripted_replica replica{world.context, respond_with(answer_with("503 Full", "", "Not-Run: 1\r\n"))};
 	world.start({{"plain", &replica}});
 	const auto answer = world.ask(request_to("POST", "/unsafe/a", "body"));
 	CHECK(answer.starts_with("HTTP/1.1 503 "));
@@ -96,10 +96,10 @@
 }
 
 TEST_CASE(
-	"a replica that can't be reached costs no attempt, not even of a request that runs once", "[exchange]")
+	"an unreachable replica uses up no attempt, not even of a request that is not repeatable", "[exchange]")
 {
 	proxy_world world;
-	scripted_replica good{world.context, answers(answer_with("200 OK", "x"))};
+	scripted_replica good{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.start({{"plain", &good}});
 	auto gone = *world.gateway().replicas().of(service_id{"plain"}).front();
 	proxy::tcp::acceptor probe{world.context, {proxy::asio::ip::address_v4::loopback(), 0}};
@@ -120,7 +120,7 @@
 TEST_CASE("a request that comes before the VM is ready waits until it is", "[exchange]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers(answer_with("200 OK", "x"))};
+	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	scripted_caller caller{world.context, world.port()};
 	caller.send(request_to("POST", "/unsafe/a", "body"));
 	world.context.run_for(std::chrono::milliseconds{10});
@@ -130,7 +130,7 @@
 	CHECK(caller.received().ends_with("x"));
 }
 
-TEST_CASE("where the VM does not become ready soon, the request is refused as not run", "[exchange]")
+TEST_CASE("a request is refused as not run if the VM does not become ready in time", "[exchange]")
 {
 	proxy_world world;
 	const auto answer = world.ask(request_to("POST", "/unsafe/a", "body"));
@@ -138,28 +138,28 @@
 	CHECK(contains(answer, "Retry-After: 0.250\r\n"));
 }
 
-TEST_CASE("a request that may be repeated goes to another replica after a failure", "[exchange]")
+TEST_CASE("a repeatable request is sent to another replica after a failure", "[exchange]")
 {
 	proxy_world world;
-	int asked = 0;
+	int request_count = 0;
 	const auto script = [&](const std::string&)
 	{
-		++asked;
-		return asked == 1 ? scripted_answer{answer_with("500 Broken", "no")}
-						  : scripted_answer{answer_with("200 OK", "yes")};
+		++request_count;
+		return request_count == 1 ? scripted_answer{answer_with("500 Broken", "no")}
+								  : scripted_answer{answer_with("200 OK", "yes")};
 	};
 	scripted_replica first{world.context, script};
 	scripted_replica second{world.context, script};
 	world.start({{"plain", &first}, {"plain", &second}});
 	CHECK(world.ask(request_to("GET", "/safe/a")).ends_with("yes"));
-	CHECK(asked == 2);
+	CHECK(request_count == 2);
 }
 
-TEST_CASE("a replica's failure is passed on as it is once attempts are used up", "[exchange]")
+TEST_CASE("a replica's failure is forwarded unchanged once all attempts are used up", "[exchange]")
 {
 	proxy_world world;
-	scripted_replica first{world.context, answers(answer_with("500 Broken", "no"))};
-	scripted_replica second{world.context, answers(answer_with("500 Broken", "no"))};
+	scripted_replica first{world.context, respond_with(answer_with("500 Broken", "no"))};
+	scripted_replica second{world.context, respond_with(answer_with("500 Broken", "no"))};
 	world.start({{"plain", &first}, {"plain", &second}});
 	const auto answer = world.ask(request_to("GET", "/safe/a"));
 	CHECK(answer.starts_with("HTTP/1.1 500 Broken\r\n"));
@@ -167,17 +167,18 @@
 	CHECK(first.requests().size() + second.requests().size() == 2);
 }
 
-TEST_CASE("a late answer to an earlier request is skipped", "[exchange]")
+TEST_CASE("a late response to an earlier request is skipped", "[exchange]")
 {
 	proxy_world world;
 	auto foreign = answer_with("200 OK", "foreign");
 	foreign.replace(foreign.find("q1"), 2, "q0");
-	scripted_replica replica{world.context, answers(foreign + answer_with("200 OK", "mine"))};
+	scripted_replica replica{world.context, respond_with(foreign + answer_with("200 OK", "mine"))};
 	world.start({{"plain", &replica}});
 	CHECK(world.ask(request_to("POST", "/unsafe/a", "body")).ends_with("mine"));
 }
 
-TEST_CASE("an answer without its signature, or encoded, is not passed on as a success", "[exchange]")
+TEST_CASE(
+	"a response without a signature, or with a content encoding, is not forwarded as a success", "[exchange]")
 {
 	const auto more = GENERATE(std::string{"Content-Encoding: gzip\r\n"}, std::string{});
 	auto bytes = answer_with("200 OK", "x", more);
@@ -186,12 +187,12 @@
 		bytes.erase(bytes.find("Signature: s\r\n"), std::string{"Signature: s\r\n"}.size());
 	}
 	proxy_world world;
-	scripted_replica replica{world.context, answers(bytes)};
+	scripted_replica replica{world.context, respond_with(bytes)};
 	world.start({{"plain", &replica}});
 	CHECK(world.ask(request_to("POST", "/unsafe/a", "body")).starts_with("HTTP/1.1 502 "));
 }
 
-TEST_CASE("a cut answer never looks whole", "[exchange]")
+TEST_CASE("a truncated response is not forwarded as complete", "[exchange]")
 {
 	proxy_world world;
 	scripted_replica replica{world.context, [](const std::string&)
@@ -204,7 +205,8 @@
 	CHECK(world.ask(request_to("POST", "/unsafe/a", "body")).starts_with("HTTP/1.1 502 "));
 }
 
-TEST_CASE("an answer without a length ends with its connection, but not with a reset", "[exchange]")
+TEST_CASE(
+	"a response without a length is complete after an orderly close, but not after a reset", "[exchange]")
 {
 	const bool resets = GENERATE(false, true);
 	proxy_world world;
@@ -218,21 +220,21 @@
 	CHECK(answer.starts_with(resets ? "HTTP/1.1 502 " : "HTTP/1.1 200 "));
 }
 
-TEST_CASE("bytes after a whole answer end the connection, and are nobody's answer", "[exchange]")
+TEST_CASE("bytes after a complete response close the connection and are not used as a response", "[exchange]")
 {
 	proxy_world world;
 	scripted_replica replica{
-		world.context, answers(answer_with("200 OK", "x") + answer_with("200 OK", "extra"))};
+		world.context, respond_with(answer_with("200 OK", "x") + answer_with("200 OK", "extra"))};
 	world.start({{"plain", &replica}});
 	CHECK(world.ask(request_to("GET", "/safe/a")).ends_with("x"));
 	CHECK(world.ask(request_to("GET", "/safe/a")).ends_with("x"));
 	CHECK(replica.accepted() == 2);
 }
 
-TEST_CASE("a connection is used again, and a stale one costs a repeatable request nothing", "[exchange]")
+TEST_CASE("connections are reused, and a repeatable request survives a stale one", "[exchange]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers(answer_with("200 OK", "x"))};
+	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.start({{"plain", &replica}});
 	CHECK(world.ask(request_to("GET", "/safe/a")).ends_with("x"));
 	CHECK(world.ask(request_to("GET", "/safe/a")).ends_with("x"));
@@ -242,11 +244,11 @@
 	CHECK(replica.accepted() == 2);
 }
 
-TEST_CASE("a stream is passed on event by event and ends whole", "[exchange][stream]")
+TEST_CASE("a stream is forwarded event by event to its end", "[exchange][stream]")
 {
 	proxy_world world;
 	scripted_replica replica{
-		world.context, answers(stream_head() + event_chunk(1) + event_chunk(2) + "0\r\n\r\n")};
+		world.context, respond_with(stream_head() + event_chunk(1) + event_chunk(2) + "0\r\n\r\n")};
 	world.start({{"engine", &replica}});
 	scripted_caller caller{world.context, world.port()};
 	caller.send(request_to("POST", "/stream/a", "p", "Model: *\r\n"));
@@ -256,14 +258,14 @@
 	CHECK(contains(replica.requests().front(), "Priority: 0\r\n"));
 }
 
-TEST_CASE("a stream that breaks goes on elsewhere after its last whole event", "[exchange][stream]")
+TEST_CASE("a broken stream is resumed on another replica after its last complete event", "[exchange][stream]")
 {
 	proxy_world world;
-	int asked = 0;
+	int request_count = 0;
 	const auto script = [&](const std::string&)
 	{
-		++asked;
-		return asked == 1
+		++request_count;
+		return request_count == 1
 				   ? scripted_answer{stream_head() + event_chunk(1) + event_chunk(2) + "5\r\nid: 3\r\n", true,
 						 false}
 				   : scripted_answer{stream_head() + event_chunk(3) + "0\r\n\r\n"};
@@ -281,11 +283,11 @@
 	CHECK(contains(later, "Last-Event-Id: 2\r\n"));
 }
 
-TEST_CASE("a stream with a hole is never passed on as whole", "[exchange][stream]")
+TEST_CASE("a stream that skips an event is not forwarded as complete", "[exchange][stream]")
 {
 	proxy_world world;
 	scripted_replica replica{
-		world.context, answers(stream_head() + event_chunk(1) + event_chunk(3) + "0\r\n\r\n")};
+		world.context, respond_with(stream_head() + event_chunk(1) + event_chunk(3) + "0\r\n\r\n")};
 	world.data.routes.back().attempts = 1;
 	world.start({{"engine", &replica}});
 	scripted_caller caller{world.context, world.port()};
@@ -295,7 +297,7 @@
 	CHECK_FALSE(contains(caller.received(), "id: 3"));
 }
 
-TEST_CASE("an answer of little confidence is given up for the largest model's", "[exchange][stream]")
+TEST_CASE("a response of low confidence is discarded in favor of the largest model's", "[exchange][stream]")
 {
 	proxy_world world;
 	scripted_replica replica{world.context, [](const std::string& request)
@@ -314,16 +316,16 @@
 	world.run_until([&] { return replica.ended() == 1; });
 }
 
-TEST_CASE("an answer of little confidence is kept where the largest model's would come too late",
-	"[exchange][stream]")
+TEST_CASE(
+	"a response of low confidence is kept if the largest model's would be too late", "[exchange][stream]")
 {
 	proxy_world world;
 	scripted_replica replica{world.context, [](const std::string&)
 		{ return scripted_answer{stream_head("Confidence: 12\r\n") + event_chunk(1) + "0\r\n\r\n"}; }};
 	world.data.services.back().models = {{model_id{"small"}, 0.1}, {model_id{"large"}, 1}};
 	world.start({{"engine", &replica}});
-	// At the speed assumed at first, 12 tokens in a millisecond, this takes 27.5 s: within the time limit of
-	// 30 s, far over the objective of 20 s.
+	// At the initially assumed speed of 12 tokens per millisecond this takes 27.5 s: within the time limit of
+	// 30 s, but well beyond the objective of 20 s.
 	world.gateway().selector().note_sent(*world.gateway().replicas().find(replica_id{"r0"}), 330000);
 	scripted_caller caller{world.context, world.port()};
 	caller.send(request_to("POST", "/stream/a", "p", "Model: *\r\n"));
@@ -332,26 +334,27 @@
 	CHECK(world.log().count(proxy::request_outcome::served) == 1);
 }
 
-TEST_CASE("a request that its engines can't answer in time is refused at once, with when they can",
+TEST_CASE("a request that the engines can't serve in time is refused immediately, with Retry-After set to "
+		  "when they can",
 	"[exchange][stream]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers("")};
+	scripted_replica replica{world.context, respond_with("")};
 	world.start({{"engine", &replica}});
-	// At the speed assumed at first, 12 tokens in a millisecond, this takes 65 s; the time limit is 30 s.
+	// At the initially assumed speed of 12 tokens per millisecond this takes 65 s; the time limit is 30 s.
 	world.gateway().selector().note_sent(*world.gateway().replicas().find(replica_id{"r0"}), 780000);
 	const auto answer = world.ask(request_to("POST", "/stream/a", "p", "Model: *\r\n"));
 	CHECK(answer.starts_with("HTTP/1.1 503"));
-	// In 45 s it would be answered within its objective of 20 s.
+	// In 45 s it would be served within its objective of 20 s.
 	CHECK(contains(answer, "Retry-After: 45.000"));
 	CHECK(replica.requests().empty());
 	CHECK(world.log().count(proxy::request_outcome::refused) == 1);
 }
 
-TEST_CASE("an idle engine is tried whatever is expected of it", "[exchange][stream]")
+TEST_CASE("an idle engine is tried whatever its expected time to first token", "[exchange][stream]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers(stream_head("") + event_chunk(1) + "0\r\n\r\n")};
+	scripted_replica replica{world.context, respond_with(stream_head("") + event_chunk(1) + "0\r\n\r\n")};
 	world.start({{"engine", &replica}});
 	constexpr double few_tokens = 10;
 	world.gateway()
@@ -363,10 +366,10 @@
 	CHECK(replica.requests().size() == 1);
 }
 
-TEST_CASE("a caller that leaves stops its replica", "[exchange]")
+TEST_CASE("a caller that disconnects stops the replica's work", "[exchange]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers("")};
+	scripted_replica replica{world.context, respond_with("")};
 	world.start({{"plain", &replica}});
 	scripted_caller caller{world.context, world.port()};
 	caller.send(request_to("POST", "/unsafe/a", "body"));
@@ -376,10 +379,10 @@
 	CHECK(world.log().count(proxy::request_outcome::abandoned) == 1);
 }
 
-TEST_CASE("a replica that leaves gets nothing more", "[exchange]")
+TEST_CASE("a draining replica receives no requests", "[exchange]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers(answer_with("200 OK", "x"))};
+	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.start({{"plain", &replica}});
 	auto leaving = *world.gateway().replicas().of(service_id{"plain"}).front();
 	leaving.leaving = true;
@@ -388,11 +391,13 @@
 	CHECK(replica.requests().empty());
 }
 
-TEST_CASE("a replica that leaves while the connection to it comes up gets nothing", "[exchange]")
+TEST_CASE(
+	"a replica that starts to drain or loses its entry while it is being connected to receives no request",
+	"[exchange]")
 {
 	proxy_world world;
-	scripted_replica first{world.context, answers(answer_with("200 OK", "x"))};
-	scripted_replica second{world.context, answers(answer_with("200 OK", "x"))};
+	scripted_replica first{world.context, respond_with(answer_with("200 OK", "x"))};
+	scripted_replica second{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.start({{"plain", &first}, {"plain", &second}});
 	scripted_caller caller{world.context, world.port()};
 	caller.send(request_to("POST", "/unsafe/a", "body"));
@@ -421,20 +426,20 @@
 	CHECK(stays.requests().size() == 1);
 }
 
-TEST_CASE("a replica at a used address that answers for another one is forgotten", "[exchange]")
+TEST_CASE("a replica whose address now belongs to another replica is forgotten", "[exchange]")
 {
 	proxy_world world;
 	scripted_replica replica{
-		world.context, answers(answer_with("421 Misdirected", "", "Replica-Id: other\r\n"))};
+		world.context, respond_with(answer_with("421 Misdirected", "", "Replica-Id: other\r\n"))};
 	world.start({{"plain", &replica}});
 	CHECK(world.ask(request_to("POST", "/unsafe/a", "body")).starts_with("HTTP/1.1 503 "));
 	CHECK(world.gateway().replicas().size() == 0);
 }
 
-TEST_CASE("keys: known, unknown, and not to be trusted", "[exchange][keys]")
+TEST_CASE("API keys: known, unknown, and not to be trusted", "[exchange][keys]")
 {
 	proxy_world world{duration{std::chrono::milliseconds{50}}};
-	scripted_replica replica{world.context, answers(answer_with("200 OK", "x"))};
+	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.data.needs_keys = true;
 	world.data.workspaces.push_back({workspace_id{"w"}, 3});
 	world.data.keys["secret"] = 0;
@@ -448,10 +453,10 @@
 	CHECK_FALSE(contains(replica.requests().front(), "secret"));
 }
 
-TEST_CASE("a configuration that was not confirmed for long refuses keys, known or not", "[exchange][keys]")
+TEST_CASE("all API keys are refused if the configuration was last confirmed too long ago", "[exchange][keys]")
 {
 	proxy_world world{duration{-1}};
-	scripted_replica replica{world.context, answers(answer_with("200 OK", "x"))};
+	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.data.needs_keys = true;
 	world.start({{"plain", &replica}});
 	const auto answer = world.ask(request_to("GET", "/safe/a", "", "Authorization: Token any\r\n"));
@@ -460,22 +465,22 @@
 	CHECK(replica.requests().empty());
 }
 
-TEST_CASE("without a configuration everything is refused, and without a route it is not found", "[exchange]")
+TEST_CASE("requests are refused without a configuration, and answered with 404 without a route", "[exchange]")
 {
 	proxy_world world;
 	CHECK(world.ask(request_to("GET", "/safe/a")).starts_with("HTTP/1.1 503 "));
-	scripted_replica replica{world.context, answers("")};
+	scripted_replica replica{world.context, respond_with("")};
 	world.start({{"plain", &replica}});
 	CHECK(world.ask(request_to("GET", "/nothing/a")).starts_with("HTTP/1.1 404 "));
 }
 
-TEST_CASE("a VM with an old configuration does not say that a route or a key does not exist", "[exchange]")
+TEST_CASE("a VM with a stale configuration does not report a route or a key as nonexistent", "[exchange]")
 {
-	// Symptom: probes of a route that a configuration had brought 5 s before got 404; 3 s are allowed.
-	// Cause: what a VM does not know is answered as unknown for good, however old its configuration.
-	// Settled by request lines with reason "no route" and a config_age_ms of 5,120 to 9,224.
+	// A VM responded with 404 to requests for a route that had been added 5 s before; at most 3 s are
+	// allowed. Whatever a VM did not know was reported as nonexistent, however old its configuration: the log
+	// showed reason "no route" with a config_age_ms of 5,120 to 9,224.
 	proxy_world world{{}, duration{0}};
-	scripted_replica replica{world.context, answers(answer_with("200 OK", "x"))};
+	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.data.needs_keys = true;
 	world.start({{"plain", &replica}});
 	const auto unknown_route = world.ask(request_to("GET", "/nothing/a"));
@@ -489,17 +494,18 @@
 TEST_CASE("a VM that is being stopped takes no late streams", "[exchange]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers("")};
+	scripted_replica replica{world.context, respond_with("")};
 	world.start({{"engine", &replica}});
 	world.gateway().note_stop(proxy::steady_now() - std::chrono::seconds{4});
 	CHECK(world.ask(request_to("POST", "/stream/a", "p")).starts_with("HTTP/1.1 503 "));
 	CHECK(replica.requests().empty());
 }
 
-TEST_CASE("a caller that does not read its answer is given up, and its replica stopped", "[exchange][stream]")
+TEST_CASE("a caller that does not read its response is disconnected, and the replica's work is stopped",
+	"[exchange][stream]")
 {
 	proxy_world world;
-	scripted_replica replica{world.context, answers(stream_head() + event_chunk(1))};
+	scripted_replica replica{world.context, respond_with(stream_head() + event_chunk(1))};
 	world.start({{"engine", &replica}});
 	proxy::tcp::socket caller{world.context};
 	scripted_caller::send_without_reading(
@@ -508,7 +514,7 @@
 	const std::string large(60000, 'x');
 	for (int id = 2; replica.ended() == 0; ++id)
 	{
-		// Far more than the kernel's buffers and the bound together.
+		// Far more than the kernel's buffers and the output limit together.
 		REQUIRE(id < 2000);
 		replica.send_more(proxy::write_chunk("id: " + std::to_string(id) + "\ndata: " + large + "\n\n"));
 		world.context.restart();
--- a/tests/proxy/replica_end_watch.cpp
+++ b/tests/proxy/replica_end_watch.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What counts as the end of a replica, and what does not.
+// What counts as the exit of a replica's process, and what does not.
 #include "../support/event_loop.hpp"
 #include "../support/scripted_peer.hpp"
 #include <gingerdyke/proxy/replica_end_watch.hpp>
@@ -11,9 +11,9 @@
 
 namespace
 {
-struct watched
+struct exit_detector_fixture
 {
-	watched()
+	exit_detector_fixture()
 	{
 		for (int i = 0; i < 4; ++i)
 		{
@@ -23,80 +23,84 @@
 			entry.id = replica_id{"r" + std::to_string(i)};
 			entry.at = replicas.back()->at();
 			entries.push_back(std::make_shared<const routing::replica>(entry));
-			static_cast<void>(watch.runs().begin(*entries.back(), request_key{"q"}, proxy::steady_now()));
+			static_cast<void>(detector.runs().begin(*entries.back(), request_key{"q"}, proxy::steady_now()));
 		}
 	}
 
-	void break_at(std::size_t index) { watch.note_broken_response(entries[index], proxy::steady_now()); }
+	void break_response(std::size_t index)
+	{
+		detector.note_broken_response(entries[index], proxy::steady_now());
+	}
 
 	proxy::asio::io_context context{1};
 	std::vector<std::unique_ptr<scripted_replica>> replicas;
 	std::vector<routing::replica_ptr> entries;
-	unsigned presumed = 0;
-	std::vector<bool> settled;
-	std::size_t together = 0;
-	proxy::replica_exit_detector watch{context,
-		{[this](const proxy::replica_exit&) { ++presumed; },
-			[this](const proxy::replica_exit& end, bool has_ended, const std::vector<process_life>& lives)
+	unsigned presumed_count = 0;
+	std::vector<bool> resolved;
+	std::size_t correlated = 0;
+	proxy::replica_exit_detector detector{context,
+		{[this](const proxy::replica_exit&) { ++presumed_count; },
+			[this](const proxy::replica_exit& exited, bool has_exited, const std::vector<process_life>& lives)
 			{
-				CHECK(end.requests == std::vector{request_key{"q"}});
-				settled.push_back(has_ended);
-				together = lives.size();
+				CHECK(exited.requests == std::vector{request_key{"q"}});
+				resolved.push_back(has_exited);
+				correlated = lives.size();
 			}}};
 };
 } // namespace
 
-TEST_CASE("an answer that breaks off is no end where the replica takes another connection", "[quarantine]")
+TEST_CASE("a broken response is no exit if the replica accepts another connection", "[quarantine]")
 {
-	watched of;
-	of.break_at(0);
-	of.break_at(0);
-	CHECK(of.presumed == 1);
-	run_until(of.context, [&] { return !of.settled.empty(); });
-	CHECK(of.settled == std::vector{false});
-	of.break_at(0);
-	CHECK(of.presumed == 2);
+	exit_detector_fixture fixture;
+	fixture.break_response(0);
+	fixture.break_response(0);
+	CHECK(fixture.presumed_count == 1);
+	run_until(fixture.context, [&] { return !fixture.resolved.empty(); });
+	CHECK(fixture.resolved == std::vector{false});
+	fixture.break_response(0);
+	CHECK(fixture.presumed_count == 2);
 }
 
-TEST_CASE("a replica that refuses connections has ended, and is told once", "[quarantine]")
+TEST_CASE("a replica that refuses connections has exited, which is reported once", "[quarantine]")
 {
-	watched of;
-	of.replicas[0]->crash();
-	of.break_at(0);
-	run_until(of.context, [&] { return !of.settled.empty(); });
-	CHECK(of.settled == std::vector{true});
-	of.break_at(0);
-	of.watch.note_refused_connection(of.entries[0], proxy::steady_now());
-	CHECK(of.presumed == 1);
-	of.watch.runs().note_connected(*of.entries[0], proxy::steady_now());
-	static_cast<void>(of.watch.runs().begin(*of.entries[0], request_key{"q"}, proxy::steady_now()));
-	of.watch.note_refused_connection(of.entries[0], proxy::steady_now());
-	CHECK(of.settled == std::vector{true, true});
+	exit_detector_fixture fixture;
+	fixture.replicas[0]->crash();
+	fixture.break_response(0);
+	run_until(fixture.context, [&] { return !fixture.resolved.empty(); });
+	CHECK(fixture.resolved == std::vector{true});
+	fixture.break_response(0);
+	fixture.detector.note_refused_connection(fixture.entries[0], proxy::steady_now());
+	CHECK(fixture.presumed_count == 1);
+	fixture.detector.runs().note_connected(*fixture.entries[0], proxy::steady_now());
+	static_cast<void>(
+		fixture.detector.runs().begin(*fixture.entries[0], request_key{"q"}, proxy::steady_now()));
+	fixture.detector.note_refused_connection(fixture.entries[0], proxy::steady_now());
+	CHECK(fixture.resolved == std::vector{true, true});
 }
 
-TEST_CASE("three replicas that end within moments of each other are told as one loss", "[quarantine]")
+TEST_CASE("three replicas that exit within the correlation window are reported as one loss", "[quarantine]")
 {
-	watched of;
+	exit_detector_fixture fixture;
 	for (std::size_t i = 0; i < 2; ++i)
 	{
-		of.watch.note_refused_connection(of.entries[i], proxy::steady_now());
+		fixture.detector.note_refused_connection(fixture.entries[i], proxy::steady_now());
 	}
-	CHECK(of.together == 0);
-	of.watch.note_refused_connection(of.entries[2], proxy::steady_now());
-	CHECK(of.together == 3);
+	CHECK(fixture.correlated == 0);
+	fixture.detector.note_refused_connection(fixture.entries[2], proxy::steady_now());
+	CHECK(fixture.correlated == 3);
 }
 
-TEST_CASE("of several replicas that are lost at once the first end is known as one of them", "[quarantine]")
+TEST_CASE("the first of several simultaneous exits is also reported as correlated", "[quarantine]")
 {
-	watched of;
+	exit_detector_fixture fixture;
 	for (std::size_t i = 0; i < 3; ++i)
 	{
-		of.replicas[i]->crash();
-		of.break_at(i);
+		fixture.replicas[i]->crash();
+		fixture.break_response(i);
 	}
 	bool was_called = false;
-	of.watch.when_resolved([&] { was_called = true; });
-	run_until(of.context, [&] { return !of.settled.empty(); });
-	CHECK(of.together == 3);
+	fixture.detector.when_resolved([&] { was_called = true; });
+	run_until(fixture.context, [&] { return !fixture.resolved.empty(); });
+	CHECK(fixture.correlated == 3);
 	CHECK(was_called);
 }
--- a/tests/proxy/replica_statements.cpp
+++ b/tests/proxy/replica_statements.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What replicas say of themselves in the heads of their answers, well formed or not.
+// Parsing of the statements of replicas in response headers, well-formed or malformed.
 #include "../support/proxy_world.hpp"
 #include <gingerdyke/proxy/replica_statements.hpp>
 
@@ -9,52 +9,52 @@
 namespace
 {
 /// Sun, 06 Nov 1994 08:49:37 GMT.
-const auto some_day = std::chrono::system_clock::from_time_t(784111777);
+const auto test_time = std::chrono::system_clock::from_time_t(784111777);
 
-proxy::replica_statements read(int status, proxy::header_fields fields)
+proxy::replica_statements parse(int status, proxy::header_fields fields)
 {
 	proxy::response_head head;
 	head.status = status;
 	head.fields = std::move(fields);
-	return proxy::read_statements(head, test_names(), some_day);
+	return proxy::read_statements(head, test_names(), test_time);
 }
 } // namespace
 
-TEST_CASE("a limit is a decimal number, of several the lowest", "[statements]")
+TEST_CASE("a load limit is a decimal number; of several the lowest counts", "[statements]")
 {
-	CHECK(read(200, {{"load-limit", "1.5"}}).load_limit == 1.5);
-	CHECK(read(200, {{"Load-Limit", "0"}}).load_limit == 0);
-	CHECK(read(200, {{"Load-Limit", "7"}, {"Load-Limit", "0.25"}}).load_limit == 0.25);
-	const auto mixed = read(200, {{"Load-Limit", "many"}, {"Load-Limit", "3"}});
+	CHECK(parse(200, {{"load-limit", "1.5"}}).load_limit == 1.5);
+	CHECK(parse(200, {{"Load-Limit", "0"}}).load_limit == 0);
+	CHECK(parse(200, {{"Load-Limit", "7"}, {"Load-Limit", "0.25"}}).load_limit == 0.25);
+	const auto mixed = parse(200, {{"Load-Limit", "many"}, {"Load-Limit", "3"}});
 	CHECK(mixed.load_limit == 3);
 	CHECK(mixed.unreadable == "many");
 	CHECK_FALSE(mixed.has_unreadable_limit);
-	CHECK(read(200, {{"Load-Limit", "many"}}).has_unreadable_limit);
-	CHECK_FALSE(read(200, {}).load_limit);
-	CHECK_FALSE(read(503, {{"Retry-After", "soon"}}).has_unreadable_limit);
+	CHECK(parse(200, {{"Load-Limit", "many"}}).has_unreadable_limit);
+	CHECK_FALSE(parse(200, {}).load_limit);
+	CHECK_FALSE(parse(503, {{"Retry-After", "soon"}}).has_unreadable_limit);
 }
 
-TEST_CASE("only 1 says that a replica leaves", "[statements]")
+TEST_CASE("only the value 1 states that a replica is draining", "[statements]")
 {
-	CHECK(read(200, {{"Leaving", "1"}}).is_draining);
-	CHECK(read(500, {{"leaving", "1"}}).is_draining);
-	CHECK_FALSE(read(200, {{"Leaving", "0"}}).is_draining);
-	CHECK_FALSE(read(200, {{"Leaving", "yes"}}).is_draining);
+	CHECK(parse(200, {{"Leaving", "1"}}).is_draining);
+	CHECK(parse(500, {{"leaving", "1"}}).is_draining);
+	CHECK_FALSE(parse(200, {{"Leaving", "0"}}).is_draining);
+	CHECK_FALSE(parse(200, {{"Leaving", "yes"}}).is_draining);
 }
 
-TEST_CASE("a refusal's Retry-After is a time in seconds or a date", "[statements]")
+TEST_CASE("Retry-After of a refusal is a number of seconds or a date", "[statements]")
 {
 	using std::chrono::milliseconds;
-	CHECK(read(503, {{"Retry-After", "3"}}).backoff == milliseconds{3000});
-	CHECK(read(503, {{"retry-after", "0.25"}}).backoff == milliseconds{250});
-	CHECK(read(503, {{"Retry-After", "1"}, {"Retry-After", "2"}}).backoff == milliseconds{2000});
-	CHECK(read(503, {{"Retry-After", "Sun, 06 Nov 1994 08:49:40 GMT"}}).backoff == milliseconds{3000});
-	CHECK(read(503, {{"Retry-After", "Sun, 06 Nov 1994 08:49:00 GMT"}}).backoff == milliseconds{0});
-	CHECK(read(503, {{"Retry-After", "1e300"}}).unreadable == "1e300");
-	CHECK(read(503, {{"Retry-After", "99999999999999999999"}}).backoff);
-	CHECK_FALSE(read(200, {{"Retry-After", "3"}}).backoff);
+	CHECK(parse(503, {{"Retry-After", "3"}}).backoff == milliseconds{3000});
+	CHECK(parse(503, {{"retry-after", "0.25"}}).backoff == milliseconds{250});
+	CHECK(parse(503, {{"Retry-After", "1"}, {"Retry-After", "2"}}).backoff == milliseconds{2000});
+	CHECK(parse(503, {{"Retry-After", "Sun, 06 Nov 1994 08:49:40 GMT"}}).backoff == milliseconds{3000});
+	CHECK(parse(503, {{"Retry-After", "Sun, 06 Nov 1994 08:49:00 GMT"}}).backoff == milliseconds{0});
+	CHECK(parse(503, {{"Retry-After", "1e300"}}).unreadable == "1e300");
+	CHECK(parse(503, {{"Retry-After", "99999999999999999999"}}).backoff);
+	CHECK_FALSE(parse(200, {{"Retry-After", "3"}}).backoff);
 	for (const auto* bad : {"-1", "nan", "soon", "", "inf"})
 	{
-		CHECK_FALSE(read(503, {{"Retry-After", bad}}).backoff);
+		CHECK_FALSE(parse(503, {{"Retry-After", bad}}).backoff);
 	}
 }
--- a/tests/proxy/request_metrics.cpp
+++ b/tests/proxy/request_metrics.cpp
@@ -35,7 +35,8 @@
 }
 } // namespace
 
-TEST_CASE("requests are counted by outcome and reason, and timed by workspace and route", "[metrics]")
+TEST_CASE(
+	"requests are counted by outcome and reason, with latency histograms by workspace and route", "[metrics]")
 {
 	request_metrics metrics;
 	metrics.note(make_record(request_outcome::served));
@@ -50,7 +51,7 @@
 	CHECK(contains(text, "# HELP gingerdyke_route_request_seconds "));
 }
 
-TEST_CASE("without requests there are heads and no values", "[metrics]")
+TEST_CASE("without requests, histograms have headers but no values", "[metrics]")
 {
 	CHECK_FALSE(contains(text_of(request_metrics{}), "_count"));
 }
--- a/tests/proxy/suspended_vm.cpp
+++ b/tests/proxy/suspended_vm.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// A VM that was suspended for seconds woke up with the ages and limits of before: its clock had stood still
-// with it. Keys taken away meanwhile were trusted, replicas got more time than their callers had left, and
-// what was to be asked again was asked as much too late.
+// After a suspension of several seconds, a VM kept the ages and deadlines of before, because its clock had
+// stood still: it trusted API keys revoked in the meantime, gave replicas more time than their callers had
+// left, and retried late by the length of the suspension.
 #include "../support/proxy_world.hpp"
 #include "../support/suspended_clock.hpp"
 #include <gingerdyke/base/suspension_watch.hpp>
@@ -10,7 +10,7 @@
 using namespace gingerdyke::test;
 using std::chrono::seconds;
 
-TEST_CASE("a timer whose time passed while the machine was suspended is due soon after", "[suspended]")
+TEST_CASE("a timer that expires while the machine is suspended fires soon after the resume", "[suspended]")
 {
 	suspended_clock clock;
 	proxy::asio::io_context context{1};
@@ -23,7 +23,8 @@
 	run_until(context, [&] { return is_due; });
 }
 
-TEST_CASE("a VM that was suspended trusts no key until the configuration is confirmed again", "[suspended]")
+TEST_CASE(
+	"after a suspension, API keys are not trusted until the configuration is confirmed again", "[suspended]")
 {
 	suspended_clock clock;
 	proxy_world world{seconds{5}};
@@ -42,7 +43,7 @@
 	CHECK(world.ask(request).starts_with("HTTP/1.1 200 "));
 }
 
-TEST_CASE("a suspension is told once, by its length", "[suspended]")
+TEST_CASE("a suspension is reported once, with its length", "[suspended]")
 {
 	using std::chrono::milliseconds;
 	suspension_watch watch;
@@ -50,12 +51,12 @@
 	CHECK_FALSE(watch.note(seconds{11}, seconds{11}));
 	CHECK(watch.note(seconds{18}, seconds{12}) == seconds{6});
 	CHECK_FALSE(watch.note(seconds{19}, seconds{13}));
-	// What lies between the two readings is no suspension.
+	// A difference as small as the delay between reading the two clocks is no suspension.
 	CHECK_FALSE(watch.note(seconds{20} + milliseconds{1}, seconds{14}));
 }
 
 TEST_CASE(
-	"a request whose time passed while the VM was suspended is given up and not sent again", "[suspended]")
+	"a request whose deadline passed while the VM was suspended fails and is not retried", "[suspended]")
 {
 	suspended_clock clock;
 	proxy_world world;
