--- a/include/gingerdyke/proxy/exchange.hpp
+++ b/include/gingerdyke/proxy/exchange.hpp
@@ -35,8 +35,8 @@
 
 	quarantine::run_number run;
 
-	/// How the replica's run of the request counts for the quarantine, unless it is set to something else
-	/// before the attempt ends.
+	/// How the end of this run is recorded for the quarantine: as given up, unless it is set otherwise before
+	/// the attempt ends.
 	quarantine::run_end run_outcome{quarantine::run_end::given_up};
 
 	/// Work that this attempt currently adds to the replica's load, in tokens prefilled by the largest model.
@@ -101,19 +101,19 @@
 	void retry_or(const std::function<void()>& otherwise);
 	void release_prefill_work();
 	void end_attempt(bool is_complete);
-	void note_run_end();
-	void note_result(routing::replica_result result);
+	void record_run_end();
+	void record_result(routing::replica_result result);
 
 	// Events from the replica.
 	void on_connected();
 	[[nodiscard]] bool is_still_sendable() const;
 	void on_head(response_head head);
-	void note_statements(const response_head& head);
+	void record_statements(const response_head& head);
 	void on_not_run();
 	void fail_refused();
 	void on_body(std::string_view bytes);
 	void on_events(std::string_view bytes);
-	void note_event_interval(std::optional<duration> at_event_boundary);
+	void record_event_interval(std::optional<duration> interval);
 	void on_end();
 	void on_fault(upstream_fault fault);
 	void on_not_connected(upstream_fault fault);
--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -188,20 +188,20 @@
 
 	/// \brief Records a request sent to a replica, which uses up this VM's shares and may be the first after
 	/// a backoff.
-	void note_sent(const routing::replica& to, instant now);
+	void record_sent(const routing::replica& to, instant now);
 
 	/// \brief Sets the hook that is called when there is new evidence on a version to report to other VMs.
 	void on_evidence(std::function<void()> hook) { evidence_hook_ = std::move(hook); }
 
 	/// \brief Records a response as evidence for the version shift of the replica's service.
-	void note_answer(const routing::replica& from, const rollout::answer_sample& answer);
+	void record_response(const routing::replica& from, const rollout::answer_sample& answer);
 
 	/// \brief Records a replica's statement that it is draining.
 	/// \param request Id of the request whose response said so, for the log.
-	void note_leaving(const routing::replica& from, const std::string& request);
+	void record_draining(const routing::replica& from, const std::string& request);
 
 	/// \brief Records a malformed statement of a replica.
-	void note_unreadable_statement(const routing::replica& from, const std::string& value);
+	void record_unreadable_statement(const routing::replica& from, const std::string& value);
 
 	/// \brief Detects exits of replica processes and the requests that ran on them.
 	[[nodiscard]] replica_exit_detector& ends() noexcept { return exit_detector_; }
--- a/include/gingerdyke/proxy/replica_end_watch.hpp
+++ b/include/gingerdyke/proxy/replica_end_watch.hpp
@@ -54,10 +54,10 @@
 	replica_exit_detector(asio::io_context& context, hooks callbacks, replica_exit_tuning tuning = {});
 
 	/// \brief Records that a replica's response was cut off or did not start.
-	void note_broken_response(const routing::replica_ptr& target, instant now);
+	void record_broken_response(const routing::replica_ptr& target, instant now);
 
 	/// \brief Records that a replica refused a connection.
-	void note_refused_connection(const routing::replica_ptr& target, instant now);
+	void record_refused_connection(const routing::replica_ptr& target, instant now);
 
 	/// \brief Calls a hook once, after the next presumed exit is resolved.
 	void when_resolved(std::function<void()> hook) { resolved_hooks_.push_back(std::move(hook)); }
--- a/include/gingerdyke/proxy/request_log.hpp
+++ b/include/gingerdyke/proxy/request_log.hpp
@@ -96,7 +96,7 @@
   public:
 	explicit request_log(instant now, request_log_tuning tuning = {});
 
-	void note(const request_record& record, instant now);
+	void record_request(const request_record& record, instant now);
 
 	/// \brief Number of requests with an outcome.
 	[[nodiscard]] std::uint64_t count(request_outcome outcome) const
--- a/include/gingerdyke/proxy/request_metrics.hpp
+++ b/include/gingerdyke/proxy/request_metrics.hpp
@@ -17,7 +17,7 @@
 class request_metrics
 {
   public:
-	void note(const request_record& record);
+	void record_request(const request_record& record);
 
 	/// \brief Number of requests with an outcome; see `name_of(request_outcome)`.
 	[[nodiscard]] std::uint64_t count(const std::string& outcome) const;
--- a/include/gingerdyke/proxy/stream_pace.hpp
+++ b/include/gingerdyke/proxy/stream_pace.hpp
@@ -17,7 +17,7 @@
 	/// \brief Records the arrival of events.
 	/// \returns The interval between the first two events, once it is known. Events that arrive together give
 	/// no sample.
-	[[nodiscard]] std::optional<duration> note_events(std::size_t count, instant now)
+	[[nodiscard]] std::optional<duration> record_events(std::size_t count, instant now)
 	{
 		if (count == 0 || is_measured_)
 		{
@@ -34,7 +34,7 @@
 
 	/// \brief Records that the stream was abandoned because no event arrived in time.
 	/// \returns The time since the first event if no second one has arrived.
-	[[nodiscard]] std::optional<duration> note_abandoned(instant now)
+	[[nodiscard]] std::optional<duration> record_abandoned(instant now)
 	{
 		if (is_measured_ || !first_at_)
 		{
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -270,7 +270,7 @@
 	execution_ = execution::may_have_run;
 	attempt_->is_cold = shared_.cold_replicas().is_cold(*to, now);
 	attempt_->is_limited = shared_.load_limits().is_limited(*to);
-	shared_.note_sent(*to, now);
+	shared_.record_sent(*to, now);
 	attempt_->connection = shared_.pool().acquire(to, route_->may_run_again(), now);
 	attempt_->queued_work = work_before_first_token(*to);
 	const auto weight = model_weight();
@@ -324,7 +324,7 @@
 	}
 	attempt_timer_.cancel();
 	shared_.selector().note_over(*attempt_->target, attempt_->work);
-	note_run_end();
+	record_run_end();
 	if (!is_complete)
 	{
 		attempt_->connection->close();
@@ -333,7 +333,7 @@
 	attempt_.reset();
 }
 
-void exchange::note_run_end()
+void exchange::record_run_end()
 {
 	const auto now = steady_now();
 	auto& runs = shared_.exit_detector().runs();
@@ -344,7 +344,7 @@
 	runs.end(*attempt_->target, attempt_->run, attempt_->run_outcome, now);
 }
 
-void exchange::note_result(routing::replica_result result)
+void exchange::record_result(routing::replica_result result)
 {
 	shared_.selector().note_result(*attempt_->target, result, attempt_->first_byte, steady_now());
 }
@@ -469,6 +469,6 @@
 	record.config_age = shared_.catalog_age(now).value_or(duration{0});
 	record.replicas_age = shared_.replicas_age(now).value_or(duration{0});
 	record.replica_is_suspected = last_was_missing_;
-	shared_.log().note(record, now);
+	shared_.log().record_request(record, now);
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -59,7 +59,7 @@
 	attempt_->first_byte = steady_now() - attempt_->sent_at;
 	attempt_->head = std::move(head);
 	const auto& received = attempt_->head;
-	note_statements(received);
+	record_statements(received);
 	if (received.find(names.not_run) != nullptr || received.status == misdirected)
 	{
 		on_not_run();
@@ -73,12 +73,12 @@
 	const bool failed = received.status >= first_server_error;
 	auto sample = sample_for(attempt_->first_byte);
 	sample.failed = failed;
-	shared_.note_answer(*attempt_->target, sample);
+	shared_.record_response(*attempt_->target, sample);
 	if (!failed)
 	{
 		record_first_token();
 	}
-	note_result(failed ? routing::replica_result::failed : routing::replica_result::answered);
+	record_result(failed ? routing::replica_result::failed : routing::replica_result::answered);
 	if (failed && may_retry())
 	{
 		attempt_->run_outcome = quarantine::run_end::over;
@@ -104,7 +104,7 @@
 }
 
 /// Ignores statements of another process that now has the replica's address.
-void exchange::note_statements(const response_head& head)
+void exchange::record_statements(const response_head& head)
 {
 	if (head.status == misdirected || is_invalid_response(head))
 	{
@@ -119,7 +119,7 @@
 	}
 	if (statements.is_draining)
 	{
-		shared_.note_leaving(from, id_);
+		shared_.record_draining(from, id_);
 	}
 	if (statements.backoff)
 	{
@@ -131,7 +131,7 @@
 	}
 	if (!statements.unreadable.empty())
 	{
-		shared_.note_unreadable_statement(from, statements.unreadable);
+		shared_.record_unreadable_statement(from, statements.unreadable);
 	}
 	if (!statements.has_unreadable_limit)
 	{
@@ -157,7 +157,7 @@
 	const bool is_misdirected = attempt_->head.status == misdirected;
 	execution_ = attempt_->execution_before;
 	attempt_->run_outcome = quarantine::run_end::over;
-	note_result(routing::replica_result::refused);
+	record_result(routing::replica_result::refused);
 	tried_replicas_.push_back(to->id);
 	end_attempt(false);
 	if (is_misdirected)
@@ -261,7 +261,7 @@
 void exchange::on_events(std::string_view bytes)
 {
 	const auto batch = events_.feed(bytes);
-	note_event_interval(attempt_->pace.note_events(batch.events.size(), steady_now()));
+	record_event_interval(attempt_->pace.record_events(batch.events.size(), steady_now()));
 	for (const auto& event : batch.events)
 	{
 		if (!response_started_)
@@ -284,14 +284,14 @@
 	}
 }
 
-void exchange::note_event_interval(std::optional<duration> at_event_boundary)
+void exchange::record_event_interval(std::optional<duration> interval)
 {
-	if (at_event_boundary)
+	if (interval)
 	{
 		auto sample = sample_for(duration{0});
 		sample.kind = rollout::sample_kind::pace;
-		sample.relative_time = rollout::relative_pace(*at_event_boundary);
-		shared_.note_answer(*attempt_->target, sample);
+		sample.relative_time = rollout::relative_pace(*interval);
+		shared_.record_response(*attempt_->target, sample);
 	}
 }
 
@@ -345,13 +345,13 @@
 	}
 	if (fault != upstream_fault::invalid_response)
 	{
-		shared_.exit_detector().note_broken_response(attempt_->target, steady_now());
+		shared_.exit_detector().record_broken_response(attempt_->target, steady_now());
 	}
 	// The replica closed a reused idle connection: that is no failure of the replica.
 	const bool is_stale_connection = fault == upstream_fault::no_response && attempt_->connection->was_used();
 	if (!is_stale_connection)
 	{
-		note_result(routing::replica_result::no_answer);
+		record_result(routing::replica_result::no_answer);
 		tried_replicas_.push_back(attempt_->target->id);
 	}
 	end_attempt(false);
@@ -375,13 +375,13 @@
 
 void exchange::on_not_connected(upstream_fault fault)
 {
-	note_result(routing::replica_result::not_connected);
+	record_result(routing::replica_result::not_connected);
 	const auto to = attempt_->target;
 	shared_.cold_replicas().note_unknown(*to, routing::cold_reason::unreachable, steady_now());
 	undo_attempt();
 	if (fault == upstream_fault::connect_refused)
 	{
-		shared_.exit_detector().note_refused_connection(to, steady_now());
+		shared_.exit_detector().record_refused_connection(to, steady_now());
 	}
 	if (++failed_connections_ >= shared_.tuning().max_failed_connections)
 	{
@@ -430,10 +430,10 @@
 	{
 		auto sample = sample_for(steady_now() - attempt_->sent_at);
 		sample.kind = rollout::sample_kind::silence;
-		shared_.note_answer(*attempt_->target, sample);
+		shared_.record_response(*attempt_->target, sample);
 	}
-	note_event_interval(attempt_->pace.note_abandoned(steady_now()));
-	note_result(routing::replica_result::no_answer);
+	record_event_interval(attempt_->pace.record_abandoned(steady_now()));
+	record_result(routing::replica_result::no_answer);
 	tried_replicas_.push_back(attempt_->target->id);
 	end_attempt(false);
 	retry_or([this] { fail(gateway_timeout, "replica silent"); });
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -263,7 +263,7 @@
 		   load_limits_.takes(to, now) && backoffs_.takes(to, now);
 }
 
-void gateway::note_sent(const routing::replica& to, instant now)
+void gateway::record_sent(const routing::replica& to, instant now)
 {
 	cold_replicas_.note_sent(to, now);
 	load_limits_.note_sent(to, now);
@@ -342,7 +342,7 @@
 	}
 }
 
-void gateway::note_answer(const routing::replica& from, const rollout::answer_sample& answer)
+void gateway::record_response(const routing::replica& from, const rollout::answer_sample& answer)
 {
 	versions_.note_answer(from.service, from.version, answer, steady_now());
 	if (evidence_hook_ && versions_.has_evidence(from.service))
@@ -351,7 +351,7 @@
 	}
 }
 
-void gateway::note_leaving(const routing::replica& from, const std::string& request)
+void gateway::record_draining(const routing::replica& from, const std::string& request)
 {
 	if (replicas_.note_leaving(from, steady_now()))
 	{
@@ -360,7 +360,7 @@
 	}
 }
 
-void gateway::note_unreadable_statement(const routing::replica& from, const std::string& value)
+void gateway::record_unreadable_statement(const routing::replica& from, const std::string& value)
 {
 	constexpr std::size_t longest = 60;
 	++unreadable_statements_;
--- a/src/proxy/replica_end_watch.cpp
+++ b/src/proxy/replica_end_watch.cpp
@@ -20,7 +20,7 @@
 {
 }
 
-void replica_exit_detector::note_broken_response(const routing::replica_ptr& target, instant now)
+void replica_exit_detector::record_broken_response(const routing::replica_ptr& target, instant now)
 {
 	if (const auto exited = presume(target, now))
 	{
@@ -28,7 +28,7 @@
 	}
 }
 
-void replica_exit_detector::note_refused_connection(const routing::replica_ptr& target, instant now)
+void replica_exit_detector::record_refused_connection(const routing::replica_ptr& target, instant now)
 {
 	if (const auto exited = presume(target, now))
 	{
--- a/src/proxy/request_log.cpp
+++ b/src/proxy/request_log.cpp
@@ -32,9 +32,9 @@
 {
 }
 
-void request_log::note(const request_record& record, instant now)
+void request_log::record_request(const request_record& record, instant now)
 {
-	metrics_.note(record);
+	metrics_.record_request(record);
 	if (record.outcome == request_outcome::served && ++served_ % tuning_.served_sample != 0)
 	{
 		return;
--- a/src/proxy/request_metrics.cpp
+++ b/src/proxy/request_metrics.cpp
@@ -35,7 +35,7 @@
 }
 } // namespace
 
-void request_metrics::note(const request_record& record)
+void request_metrics::record_request(const request_record& record)
 {
 	++outcomes_[name_of(record.outcome)];
 	if (record.outcome != request_outcome::served)
--- a/tests/proxy/replica_end_watch.cpp
+++ b/tests/proxy/replica_end_watch.cpp
@@ -29,7 +29,7 @@
 
 	void break_response(std::size_t index)
 	{
-		detector.note_broken_response(entries[index], proxy::steady_now());
+		detector.record_broken_response(entries[index], proxy::steady_now());
 	}
 
 	proxy::asio::io_context context{1};
@@ -69,12 +69,12 @@
 	run_until(fixture.context, [&] { return !fixture.resolved.empty(); });
 	CHECK(fixture.resolved == std::vector{true});
 	fixture.break_response(0);
-	fixture.detector.note_refused_connection(fixture.entries[0], proxy::steady_now());
+	fixture.detector.record_refused_connection(fixture.entries[0], proxy::steady_now());
 	CHECK(fixture.presumed_count == 1);
 	fixture.detector.runs().note_connected(*fixture.entries[0], proxy::steady_now());
 	static_cast<void>(
 		fixture.detector.runs().begin(*fixture.entries[0], request_key{"q"}, proxy::steady_now()));
-	fixture.detector.note_refused_connection(fixture.entries[0], proxy::steady_now());
+	fixture.detector.record_refused_connection(fixture.entries[0], proxy::steady_now());
 	CHECK(fixture.resolved == std::vector{true, true});
 }
 
@@ -83,10 +83,10 @@
 	exit_detector_fixture fixture;
 	for (std::size_t i = 0; i < 2; ++i)
 	{
-		fixture.detector.note_refused_connection(fixture.entries[i], proxy::steady_now());
+		fixture.detector.record_refused_connection(fixture.entries[i], proxy::steady_now());
 	}
 	CHECK(fixture.correlated == 0);
-	fixture.detector.note_refused_connection(fixture.entries[2], proxy::steady_now());
+	fixture.detector.record_refused_connection(fixture.entries[2], proxy::steady_now());
 	CHECK(fixture.correlated == 3);
 }
 
--- a/tests/proxy/request_metrics.cpp
+++ b/tests/proxy/request_metrics.cpp
@@ -39,9 +39,9 @@
 	"requests are counted by outcome and reason, with latency histograms by workspace and route", "[metrics]")
 {
 	request_metrics metrics;
-	metrics.note(make_record(request_outcome::served));
-	metrics.note(make_record(request_outcome::served));
-	metrics.note(make_record(request_outcome::refused, "no replica"));
+	metrics.record_request(make_record(request_outcome::served));
+	metrics.record_request(make_record(request_outcome::served));
+	metrics.record_request(make_record(request_outcome::refused, "no replica"));
 	const auto text = text_of(metrics);
 	CHECK(contains(text, "gingerdyke_requests_total{outcome=\"served\"} 2\n"));
 	CHECK(contains(text, "gingerdyke_request_failures_total{reason=\"no replica\"} 1\n"));
