--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -157,7 +157,7 @@
 	[[nodiscard]] key_trust trust_in_keys(instant now) const;
 
 	/// \brief Records that the process is shutting down.
-	void note_stop(instant now) { stop_started_at_ = now; }
+	void record_shutdown(instant now) { stop_started_at_ = now; }
 
 	/// \brief Whether a new request is accepted: always, except late in a shutdown.
 	[[nodiscard]] bool accepts_requests(bool is_stream, instant now) const;
--- a/include/gingerdyke/proxy/unknown_statements.hpp
+++ b/include/gingerdyke/proxy/unknown_statements.hpp
@@ -37,7 +37,7 @@
 
 	/// \brief Counts one statement. The number of names that are reported and the length of a name are
 	/// bounded; statements beyond that are only counted.
-	void note(statement_source source, std::string_view name, const std::string& sender);
+	void record(statement_source source, std::string_view name, const std::string& sender);
 
 	/// \brief Number of statements so far.
 	[[nodiscard]] std::uint64_t count() const noexcept { return count_; }
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -216,7 +216,7 @@
 	}
 	if (std::holds_alternative<std::monostate>(*news))
 	{
-		gateway_.unknown_names().note(proxy::statement_source::operator_row, one.key, layout_.operator_table);
+		gateway_.unknown_names().record(proxy::statement_source::operator_row, one.key, layout_.operator_table);
 	}
 	if (const auto* catalog = std::get_if<routing::catalog_ptr>(&*news))
 	{
@@ -266,7 +266,7 @@
 	}
 	for (const auto& name : layout_.unknown_replica_fields(one))
 	{
-		gateway_.unknown_names().note(proxy::statement_source::replica_entry, name, one.key);
+		gateway_.unknown_names().record(proxy::statement_source::replica_entry, name, one.key);
 	}
 }
 
--- a/src/proxy/unknown_statements.cpp
+++ b/src/proxy/unknown_statements.cpp
@@ -25,7 +25,7 @@
 	return "unknown";
 }
 
-void unknown_statements::note(statement_source source, std::string_view name, const std::string& sender)
+void unknown_statements::record(statement_source source, std::string_view name, const std::string& sender)
 {
 	++count_;
 	const std::string truncated{name.substr(0, max_name_length)};
--- a/tests/platform/unknown_statements.cpp
+++ b/tests/platform/unknown_statements.cpp
@@ -19,12 +19,12 @@
 		}};
 	for (int i = 0; i < 1000; ++i)
 	{
-		unknown.note(
+		unknown.record(
 			statement_source::answer, "Server-" + std::to_string(i % 500) + std::string(1000, 'x'), "r1");
 	}
 	CHECK(told == 64);
 	CHECK(unknown.count() == 1000);
-	unknown.note(statement_source::replica_entry, "server-0", "r1");
+	unknown.record(statement_source::replica_entry, "server-0", "r1");
 	CHECK(unknown.count() == 1001);
 }
 
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -496,7 +496,7 @@
 	proxy_world world;
 	scripted_replica replica{world.context, respond_with("")};
 	world.start({{"engine", &replica}});
-	world.gateway().note_stop(proxy::steady_now() - std::chrono::seconds{4});
+	world.gateway().record_shutdown(proxy::steady_now() - std::chrono::seconds{4});
 	CHECK(world.ask(request_to("POST", "/stream/a", "p")).starts_with("HTTP/1.1 503 "));
 	CHECK(replica.requests().empty());
 }
