--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -249,11 +249,11 @@
 	const auto& all = replicas_.of(service);
 	const bool is_evacuated = std::any_of(all.begin(), all.end(),
 		[this](const auto& instance) { return evacuated_domains_.contains(instance->domain); });
-	const bool all_leave = !all.empty() && std::all_of(all.begin(), all.end(),
-											   [](const auto& instance) { return instance->leaving; });
-	const auto* reason = is_evacuated ? "failure domains are evacuated"
-						 : all_leave  ? "all replicas leave"
-									  : "no replica";
+	const bool all_draining = !all.empty() && std::all_of(all.begin(), all.end(),
+												  [](const auto& instance) { return instance->leaving; });
+	const auto* reason = is_evacuated   ? "failure domains are evacuated"
+						 : all_draining ? "all replicas leave"
+										: "no replica";
 	return {reason, tuning_.retry_after};
 }
 
--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -169,9 +169,9 @@
 	fleet.before_crash(
 		[&](std::size_t index)
 		{
-			auto leaving = *world.gateway().replicas().find(replica_id{"r" + std::to_string(index)});
-			leaving.leaving = true;
-			world.gateway().replicas().put(leaving, proxy::steady_now());
+			auto draining = *world.gateway().replicas().find(replica_id{"r" + std::to_string(index)});
+			draining.leaving = true;
+			world.gateway().replicas().put(draining, proxy::steady_now());
 		});
 	for (std::size_t asked = 1; asked <= 5; ++asked)
 	{
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -384,9 +384,9 @@
 	proxy_world world;
 	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.start({{"plain", &replica}});
-	auto leaving = *world.gateway().replicas().of(service_id{"plain"}).front();
-	leaving.leaving = true;
-	world.gateway().replicas().put(leaving, proxy::steady_now());
+	auto draining = *world.gateway().replicas().of(service_id{"plain"}).front();
+	draining.leaving = true;
+	world.gateway().replicas().put(draining, proxy::steady_now());
 	CHECK(world.ask(request_to("POST", "/unsafe/a", "body")).starts_with("HTTP/1.1 503 "));
 	CHECK(replica.requests().empty());
 }
@@ -405,25 +405,25 @@
 	const auto in_use = [&](const char* id) { return gateway.pool().connection_count(replica_id{id}) > 0; };
 	world.run_until([&] { return in_use("r0") || in_use("r1"); });
 	const bool is_first = in_use("r0");
-	const auto& left = is_first ? first : second;
-	const auto& stays = is_first ? second : first;
+	const auto& draining_or_removed = is_first ? first : second;
+	const auto& remaining = is_first ? second : first;
 	const replica_id id{is_first ? "r0" : "r1"};
 
-	SECTION("it says that it drains")
+	SECTION("it states that it is draining")
 	{
-		auto leaving = *gateway.replicas().find(id);
-		leaving.leaving = true;
-		gateway.replicas().put(leaving, proxy::steady_now());
+		auto draining = *gateway.replicas().find(id);
+		draining.leaving = true;
+		gateway.replicas().put(draining, proxy::steady_now());
 	}
-	SECTION("its entry goes")
+	SECTION("its entry is removed")
 	{
 		gateway.replicas().note_sound(proxy::steady_now() - std::chrono::hours{1});
 		gateway.replicas().remove(id, proxy::steady_now());
 	}
 	world.run_until([&] { return caller.has_answer(); });
 	CHECK(caller.received().starts_with("HTTP/1.1 200 "));
-	CHECK(left.requests().empty());
-	CHECK(stays.requests().size() == 1);
+	CHECK(draining_or_removed.requests().empty());
+	CHECK(remaining.requests().size() == 1);
 }
 
 TEST_CASE("a replica whose address now belongs to another replica is forgotten", "[exchange]")
