--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -204,7 +204,7 @@
 	void record_unreadable_statement(const routing::replica& from, const std::string& value);
 
 	/// \brief Detects exits of replica processes and the requests that ran on them.
-	[[nodiscard]] replica_exit_detector& ends() noexcept { return exit_detector_; }
+	[[nodiscard]] replica_exit_detector& exit_detector() noexcept { return exit_detector_; }
 
 	/// \brief Requests during which replica processes exited, and which of them are held, that is, no longer
 	/// sent to any replica.
@@ -236,7 +236,7 @@
 	[[nodiscard]] routing::evacuated_domains& evacuated() noexcept { return evacuated_domains_; }
 	[[nodiscard]] routing::slow_start& cold_replicas() noexcept { return cold_replicas_; }
 	[[nodiscard]] routing::announced_limits& load_limits() noexcept { return load_limits_; }
-	[[nodiscard]] routing::rest_periods& resting() noexcept { return backoffs_; }
+	[[nodiscard]] routing::rest_periods& backoffs() noexcept { return backoffs_; }
 	[[nodiscard]] unknown_statements& unknown_names() noexcept { return unknown_names_; }
 	[[nodiscard]] routing::replica_selector& selector() noexcept { return selector_; }
 	[[nodiscard]] upstream_pool& pool() noexcept { return pool_; }
--- a/src/proxy/upstream_link.cpp
+++ b/src/proxy/upstream_link.cpp
@@ -291,7 +291,7 @@
 	busy_ = false;
 	const auto callbacks = std::exchange(callbacks_, nullptr);
 	const auto self = shared_from_this();
-	callbacks->on_idle_closed();
+	callbacks->response_completed();
 }
 
 void upstream_connection::fail(upstream_fault fault)
