--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -216,7 +216,8 @@
 	}
 	if (std::holds_alternative<std::monostate>(*news))
 	{
-		gateway_.unknown_names().record(proxy::statement_source::operator_row, one.key, layout_.operator_table);
+		gateway_.unknown_names().record(
+			proxy::statement_source::operator_row, one.key, layout_.operator_table);
 	}
 	if (const auto* catalog = std::get_if<routing::catalog_ptr>(&*news))
 	{
