--- a/include/gingerdyke/routing/address.hpp
+++ b/include/gingerdyke/routing/address.hpp
@@ -15,10 +15,10 @@
 	std::string ip;
 	std::uint16_t port{};
 
-	/// \brief The written form, `ip:port`.
+	/// \brief Formats the address as `ip:port`.
 	[[nodiscard]] std::string str() const { return ip + ":" + std::to_string(port); }
 
-	/// \brief Reads `ip:port`; none where the text is not of that form.
+	/// \brief Parses `ip:port`; returns none if the text is not of that form.
 	[[nodiscard]] static std::optional<address> parse(const std::string& text);
 
 	auto operator<=>(const address&) const = default;
--- a/include/gingerdyke/routing/announced_limits.hpp
+++ b/include/gingerdyke/routing/announced_limits.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Requests a second that replicas in need ask for in their answers, and this VM's part of them.
+// Rate limits that overloaded replicas announce in their responses, and this VM's share of each.
 #pragma once
 
 #include <functional>
@@ -13,33 +13,35 @@
 
 namespace gingerdyke::routing
 {
-/// \brief What one answer says of the limit of the replica that gave it.
+/// \brief The rate limit that one response of a replica carries.
 struct limit_statement
 {
-	/// Requests a second that the replica takes from all VMs together; none: it names no limit.
+	/// Requests per second that the replica accepts from all VMs together; none: the response carries no
+	/// limit.
 	std::optional<double> requests_per_s;
 
-	/// When the request of that answer was sent.
+	/// When the request that got this response was sent.
 	instant sent_at;
 
-	/// Id of that request, for the log; empty: another VM told.
+	/// Id of that request, for the log; empty if another VM reported the limit.
 	std::string request;
 };
 
-/// \brief What a VM heard of a replica's limit, as it tells other VMs.
+/// \brief What a VM has learned about a replica's limit, as it reports it to other VMs.
 struct limit_news
 {
 	replica_id replica;
 	replica_incarnation incarnation;
 
-	/// None: it names no limit any more.
+	/// None: the replica no longer announces a limit.
 	std::optional<double> requests_per_s;
 
-	/// Since the limit was heard of, or since the request was sent whose answer named none.
+	/// Time since the limit was received or, if it was removed, since the request was sent whose response
+	/// carried none.
 	duration age{};
 };
 
-/// \brief What became of a replica's limit.
+/// \brief How a replica's limit changed.
 enum class limit_change
 {
 	named,
@@ -47,78 +49,79 @@
 	over,
 };
 
-/// \brief The word for a change.
+/// \brief Returns the name of a change, as logged.
 [[nodiscard]] const char* name_of(limit_change change) noexcept;
 
 /// \brief Tuning of `announced_limits`.
 struct announced_limits_tuning
 {
-	/// Where VMs are more than this beyond the requests a second, only so many of them have a share: those
-	/// with a share may all send at one moment, and a replica in need is not to get a burst of the whole
-	/// fleet.
+	/// If there are more VMs than twice the requests per second plus this, only as many of them as the
+	/// requests per second plus this have a share. All VMs with a share may send at the same moment, and an
+	/// overloaded replica must not get a burst from the whole fleet.
 	double burst = 4;
 
-	/// A VM with a share asks again at least this often: else a replica with a very low limit would stay
-	/// unused long after its need.
-	duration longest_interval = std::chrono::seconds{30};
+	/// Longest interval between two requests of a VM with a share. Otherwise a replica with a very low
+	/// limit would stay unused long after its overload has ended.
+	duration max_interval = std::chrono::seconds{30};
 
-	/// A VM that may send more than one request in this time may send them closer together than at an even
-	/// pace, as callers come.
+	/// A VM that may send more than one request in this time may send them closer together than evenly
+	/// spaced, following the arrival of client requests.
 	duration burst_time = std::chrono::seconds{1};
 
-	/// Part of the limit for VMs without a share. Each asks rarely, in turn, and learns thereby that the need
-	/// is over where no other VM could tell it.
-	double probing_share = 0.25;
+	/// Part of the limit for VMs without a share. Each of them sends rarely, in turn, and so learns that
+	/// the overload is over even if no other VM could report it.
+	double probe_share = 0.25;
 
-	/// What a VM heard itself is told to others for this long: longer than the longest interval, so that news
-	/// of a limit in force never runs out.
-	duration news_lifetime = std::chrono::seconds{35};
+	/// How long a VM reports what it received itself to other VMs: longer than the longest interval, so
+	/// that a limit in force is always being reported.
+	duration report_lifetime = std::chrono::seconds{35};
 };
 
-/// \brief Knows the limits that replicas name and shares them out.
+/// \brief Tracks the rate limits that replicas announce and computes this VM's share of each.
 ///
-/// A limit holds until the replica answers a request without naming one. Answers on different connections
-/// overtake each other, so only a request that was sent after the limit was last heard of counts.
+/// A limit holds until the replica answers a request without announcing one. Responses on different
+/// connections can overtake each other, so only a request that was sent after the limit was last received
+/// counts.
 ///
-/// No VM asks another one for its share: each works out from the list of VMs how often it may send. In any
-/// span of t seconds the VMs with a share send at most the limit times t + 1 together, and one request each;
-/// those without take turns at a part of the limit. The last list that was read counts, however old: in an
-/// outage of the registry no VM is added to it either.
+/// VMs do not negotiate their shares: each computes from the list of VMs how often it may send. In any span
+/// of t seconds the VMs with a share together send at most the limit times t + 1, plus one request each;
+/// those without a share take turns at a part of the limit. The last list that was read is used however old
+/// it is: during a registry outage no VM is added to it either.
 class announced_limits
 {
   public:
-	/// \brief Told what became of a replica's limit, and by which answer.
+	/// \brief Called when a replica's limit changes, with the response that changed it.
 	using change_hook = std::function<void(const replica&, limit_change, const limit_statement&)>;
 
-	/// \param vms List of the VMs that send to the replicas; must outlive this.
+	/// \param vms List of the VMs that send to the replicas; must outlive this object.
 	announced_limits(const fleet_list& vms, change_hook changed, announced_limits_tuning tuning = {});
 
-	/// \brief Takes what a replica's answer says.
-	void note_answer(const replica& from, const limit_statement& said, instant now);
+	/// \brief Applies what a replica's response says about its limit.
+	void note_answer(const replica& sender, const limit_statement& announcement, instant now);
 
-	/// \brief Takes what another VM heard of a replica.
-	void note_elsewhere(const replica& of, const limit_news& heard, instant now);
+	/// \brief Applies what another VM has learned about a replica's limit.
+	void note_elsewhere(const replica& target, const limit_news& update, instant now);
 
-	/// \brief What this VM heard itself lately, for other VMs.
+	/// \brief Returns what this VM itself recently received, for other VMs.
 	[[nodiscard]] std::vector<limit_news> own_news(instant now) const;
 
-	/// \brief Forgets a replica that is gone, or has started again.
+	/// \brief Drops the state of a replica that is gone or has restarted.
 	void forget(const replica_id& id);
 
-	/// \brief Whether a replica names a limit.
-	[[nodiscard]] bool is_limited(const replica& one) const { return find(one) != nullptr; }
+	/// \brief Whether a replica announces a limit.
+	[[nodiscard]] bool is_limited(const replica& target) const { return find(target) != nullptr; }
 
-	/// \brief Whether this VM may send a replica a request now.
-	[[nodiscard]] bool takes(const replica& one, instant now) const;
+	/// \brief Whether this VM may send a request to a replica now.
+	[[nodiscard]] bool takes(const replica& target, instant now) const;
 
-	/// \brief Notes a request that is sent to a replica, limited or not.
-	void note_sent(const replica& one, instant now);
+	/// \brief Records a request that is sent to a replica, limited or not.
+	void note_sent(const replica& target, instant now);
 
-	/// \brief How long until this VM may send a request to a limited replica of a service; none: none of them
-	/// is limited.
+	/// \brief Time until this VM may send a request to one of the limited replicas of a service; none: none
+	/// of them is limited.
 	[[nodiscard]] std::optional<duration> time_until_share(const service_id& service, instant now) const;
 
-	/// \brief Replicas that name a limit.
+	/// \brief Number of replicas that announce a limit.
 	[[nodiscard]] std::size_t size() const noexcept { return states_.size(); }
 
   private:
@@ -126,46 +129,47 @@
 	{
 		replica_incarnation incarnation;
 		service_id service;
-		fleet_rank place;
+		fleet_rank rank;
 		double requests_per_s{};
 
-		/// When some VM last heard of the limit, as far as this one knows.
-		instant named_at;
+		/// When any VM last received the limit, as far as this VM knows.
+		instant last_announced_at;
 
-		/// When this VM last heard of it itself.
-		std::optional<instant> heard_at;
+		/// When this VM last received the limit itself; none: only other VMs have.
+		std::optional<instant> last_received_at;
 
-		/// When its next request is due at an even pace.
-		instant next_due;
+		/// When this VM's next request to the replica is due if requests are evenly spaced.
+		instant next_due_at;
 	};
 
-	/// A limit that this VM found to be over.
-	struct ended_limit
+	/// A limit that this VM found to be removed.
+	struct removed_limit
 	{
 		replica_incarnation incarnation;
-		instant over_at;
+		instant removed_at;
 	};
 
-	/// How this VM may use its part of a limit.
-	struct pace
+	/// The schedule by which this VM uses its part of a limit.
+	struct schedule
 	{
-		/// From knowing of the limit to the first request.
+		/// Delay from learning of the limit to the first request.
 		duration first;
 
-		/// Between requests at an even pace.
+		/// Interval between evenly spaced requests.
 		duration interval;
 	};
 
-	[[nodiscard]] const state* find(const replica& one) const;
-	[[nodiscard]] state& put(const replica& of, double requests_per_s, instant named_at, instant now);
-	[[nodiscard]] pace pace_of(const state& of) const;
-	[[nodiscard]] instant next_request(const state& of) const;
-	[[nodiscard]] bool is_over_since(const replica& of, instant at) const;
+	[[nodiscard]] const state* find(const replica& target) const;
+	[[nodiscard]] state& set_limit(
+		const replica& target, double requests_per_s, instant last_announced_at, instant now);
+	[[nodiscard]] schedule schedule_of(const state& target) const;
+	[[nodiscard]] instant next_send_time(const state& target) const;
+	[[nodiscard]] bool is_removed_since(const replica& target, instant at) const;
 
 	const fleet_list& vms_;
 	change_hook changed_;
 	announced_limits_tuning tuning_;
 	std::map<replica_id, state> states_;
-	std::map<replica_id, ended_limit> ended_;
+	std::map<replica_id, removed_limit> removed_;
 };
 } // namespace gingerdyke::routing
--- a/include/gingerdyke/routing/catalog.hpp
+++ b/include/gingerdyke/routing/catalog.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The configuration in force: routes, services, workspaces and limits, as the data path looks them up.
+// The active configuration: routes, services, workspaces and limits, indexed for lookup by the data path.
 #pragma once
 
 #include <cstddef>
@@ -16,17 +16,17 @@
 {
 using route_id = string_id<struct route_tag>;
 
-/// \brief Number of the configuration; a higher one replaces a lower one.
+/// \brief Version number of the configuration; a higher one replaces a lower one.
 using config_version = quantity<struct config_version_tag>;
 
-/// \brief One service of a route's split.
+/// \brief One service of a route's weighted traffic split.
 struct weighted_service
 {
 	service_id service;
 	unsigned weight{};
 };
 
-/// \brief What the operator says of one route.
+/// \brief Configuration of one route.
 struct route
 {
 	route_id id;
@@ -35,99 +35,99 @@
 	/// Begins and ends with a slash.
 	std::string path_prefix;
 
-	/// A request may run more than once.
+	/// Requests are idempotent: one may be executed more than once.
 	bool repeatable{};
 
-	/// The answer is a stream of server-sent events.
+	/// The response is a stream of server-sent events.
 	bool streams{};
 
-	/// A broken stream may go on at another replica after its last event.
+	/// A broken stream may be resumed at another replica after its last event.
 	bool resumable{};
 
-	/// Needs no key.
+	/// Requests need no API key.
 	bool is_public{};
 
-	/// Replicas keep parts of the prompt, so that requests sharing them belong together.
+	/// Replicas cache prompt prefixes, so requests with a common prefix should go to the same replica.
 	bool keeps_prefixes{};
 
-	/// Services that take the traffic, by weight; never empty.
+	/// Services that the traffic is split over, by weight; never empty.
 	std::vector<weighted_service> services;
 
-	/// A request is answered within this time, with whatever final answer there is then.
+	/// Every request gets a final response within this time, if only an error.
 	duration time_limit{};
 
-	/// An answer that begins within this time is in time.
+	/// Latency objective: a response that begins within this time meets it.
 	duration objective{};
 
-	/// Longest pause between two events of an answer in time; none: no bound.
+	/// Longest interval between two events of a stream that meets the objective; none: unbounded.
 	std::optional<duration> longest_pause;
 
-	/// Replicas that one request may be sent to.
+	/// Maximum number of replicas that one request may be sent to.
 	unsigned attempts{1};
 
-	/// Rank, 0 first; a workspace's own rank goes before it.
+	/// Priority, 0 is the highest; a workspace's own priority overrides it.
 	unsigned priority{};
 
-	/// Models that may answer, smallest first; empty: the caller names the model.
+	/// Models that may answer, smallest first; empty: the client names the model.
 	std::vector<model_id> models;
 
-	/// \brief Whether a request may be sent again after it may have run.
+	/// \brief Whether a request may be sent again after it may have been executed.
 	[[nodiscard]] bool may_run_again() const noexcept { return streams ? resumable : repeatable; }
 };
 
-/// \brief A model of a service's engines with its price.
+/// \brief A model that a service's engines run, with its price.
 struct priced_model
 {
 	model_id model;
 
-	/// Price per 1,000 generated tokens; a token read costs a quarter.
+	/// Price per 1,000 generated tokens; a prompt token costs a quarter of a generated one.
 	double cost{};
 };
 
-/// \brief What a replica of a service bears while it is cold.
+/// \brief Load limit of a service's replicas while they are cold, that is, warming up after their start.
 struct cold_limit
 {
-	/// Requests a second, of all VMs together.
+	/// Requests per second from all VMs together.
 	double requests_per_s{};
 
-	/// For how long it is cold after its start.
+	/// How long a replica is cold after its start.
 	duration start_time{};
 
 	auto operator<=>(const cold_limit&) const = default;
 };
 
-/// \brief What the operator says of one service.
+/// \brief Configuration of one service.
 struct service
 {
 	service_id id;
 
-	/// Connections that one replica accepts from all VMs together; 0: no bound stated.
+	/// Connections that one replica accepts from all VMs together; 0: no limit configured.
 	unsigned connections_per_replica{};
 
-	/// Its replicas are engines that batch requests and keep parts of prompts.
+	/// Its replicas are model engines, which batch requests and cache prompt prefixes.
 	bool is_engine{};
 
-	/// Empty where the service is no engine.
+	/// Empty if the service is not an engine.
 	std::vector<priced_model> models;
 
-	/// What a replica bears while it is cold; none: no limit is stated.
+	/// Load limit of a cold replica; none: no limit configured.
 	std::optional<cold_limit> cold;
 
-	/// \brief The share of the dearest model's price that a model costs: about the share of its time too. 1
-	/// where the model or its price is not known.
+	/// \brief Price of a model relative to the most expensive one of the service, which is about its
+	/// relative compute time too. Returns 1 if the model or its price is not known.
 	[[nodiscard]] double relative_cost(const model_id& model) const;
 };
 
-/// \brief A workspace with the keys that belong to it.
+/// \brief A workspace, to which API keys belong.
 struct workspace
 {
 	workspace_id id;
 
-	/// Goes before the route's rank where there is one.
+	/// Overrides the route's priority if set.
 	std::optional<unsigned> priority;
 };
 
-/// \brief Bounds on what a caller may send, and how long it may take.
+/// \brief Limits on the size of a client's request and on the time that a client may take.
 struct caller_limits
 {
 	std::size_t header_bytes{16384};
@@ -136,7 +136,7 @@
 	duration idle_time{std::chrono::seconds{15}};
 };
 
-/// \brief Everything one configuration says, before it is indexed.
+/// \brief Content of one configuration, before it is indexed.
 struct catalog_data
 {
 	config_version version;
@@ -144,16 +144,16 @@
 	std::vector<service> services;
 	std::vector<workspace> workspaces;
 
-	/// Key to the index of its workspace.
+	/// Maps an API key to the index of its workspace.
 	std::unordered_map<std::string, std::size_t> keys;
 
-	/// Whether requests need a key at all.
+	/// Whether requests need an API key at all.
 	bool needs_keys{};
 
 	caller_limits limits;
 };
 
-/// \brief An immutable, indexed configuration; requests keep the one that they started with.
+/// \brief An immutable, indexed configuration; each request uses the one that was active when it started.
 class catalog
 {
   public:
@@ -161,16 +161,17 @@
 
 	[[nodiscard]] config_version version() const noexcept { return data_.version; }
 
-	/// \brief The route for a request: the longest prefix that begins the path, among those of the host.
+	/// \brief Finds the route for a request: among those of the host, the one with the longest prefix of
+	/// the path.
 	/// \param host Value of the `Host` header; a port is ignored.
-	/// \param path Path of the target, without the query.
-	/// \returns The route, or null where there is none.
+	/// \param path Path of the request target, without the query.
+	/// \returns The route, or null if there is none.
 	[[nodiscard]] const route* find_route(std::string_view host, std::string_view path) const;
 
-	/// \brief The workspace that a key belongs to, or null.
+	/// \brief Finds the workspace that an API key belongs to, or null.
 	[[nodiscard]] const workspace* find_workspace(const std::string& key) const;
 
-	/// \brief A service by its name, or null.
+	/// \brief Finds a service by its id, or null.
 	[[nodiscard]] const service* find_service(const service_id& id) const;
 
 	[[nodiscard]] const std::vector<service>& services() const noexcept { return data_.services; }
@@ -191,7 +192,7 @@
 
 using catalog_ptr = std::shared_ptr<const catalog>;
 
-/// \brief The service that a request of a route goes to.
-/// \param point Hash of what must stay together, such as the session; the same point gives the same service.
-[[nodiscard]] const service_id& pick_service(const route& route, std::uint64_t point);
+/// \brief Picks the service that a request of a route goes to, in proportion to the weights.
+/// \param hash Hash of what must stay together, such as the session; equal hashes pick the same service.
+[[nodiscard]] const service_id& pick_service(const route& route, std::uint64_t hash);
 } // namespace gingerdyke::routing
--- a/include/gingerdyke/routing/evacuated_domains.hpp
+++ b/include/gingerdyke/routing/evacuated_domains.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The failure domains whose replicas get nothing, because operators evacuate them.
+// The failure domains that operators evacuate; their replicas get no requests.
 #pragma once
 
 #include <functional>
@@ -8,25 +8,25 @@
 
 namespace gingerdyke::routing
 {
-/// \brief Keeps which failure domains are evacuated.
+/// \brief Keeps the set of evacuated failure domains.
 class evacuated_domains
 {
   public:
-	/// \brief Told of a failure domain whose evacuation began, or was withdrawn.
+	/// \brief Called when the evacuation of a failure domain begins or is withdrawn.
 	using change_hook = std::function<void(const failure_domain_id&, bool is_evacuated)>;
 
 	explicit evacuated_domains(change_hook changed) : changed_(std::move(changed)) {}
 
-	/// \brief Takes an order to evacuate a failure domain.
+	/// \brief Begins the evacuation of a failure domain.
 	void add(const failure_domain_id& domain);
 
-	/// \brief Takes the news that an order was withdrawn.
+	/// \brief Ends the evacuation of a failure domain.
 	void remove(const failure_domain_id& domain);
 
-	/// \brief Drops all orders but those that stand: the others were withdrawn.
-	void retain(const std::set<failure_domain_id>& standing);
+	/// \brief Ends all evacuations but the given ones, because the operators have withdrawn them.
+	void retain(const std::set<failure_domain_id>& active);
 
-	/// \brief Whether a failure domain's replicas are to get nothing.
+	/// \brief Whether a failure domain is evacuated.
 	[[nodiscard]] bool contains(const failure_domain_id& domain) const { return domains_.contains(domain); }
 
 	[[nodiscard]] std::size_t size() const noexcept { return domains_.size(); }
--- a/include/gingerdyke/routing/first_token_time.hpp
+++ b/include/gingerdyke/routing/first_token_time.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// How long an engine takes to its first token, learnt from the answers seen.
+// Estimates an engine's time to first token from the responses observed.
 #pragma once
 
 #include <cmath>
@@ -10,59 +10,61 @@
 /// \brief Tuning of `first_token_time`.
 struct first_token_tuning
 {
-	/// Tokens that an engine reads in a millisecond with its largest model, assumed where answers tell
-	/// nothing: the slower end of what engines do, so that a VM that has just started asks little of them.
-	double assumed_speed = 12;
+	/// Prompt tokens that an engine processes per millisecond with its largest model, assumed while no
+	/// responses were observed. At the slow end of the usual range, so that a VM that has just started
+	/// sends engines little.
+	double assumed_tokens_per_ms = 12;
 
-	/// What that assumption counts beside answers, in their time: that of one long prompt.
-	duration assumed_time = std::chrono::milliseconds{1000};
+	/// Weight of that assumption relative to observed responses, as response time: that of one long prompt.
+	duration assumption_weight = std::chrono::milliseconds{1000};
 
-	/// Half of an answer's weight is gone after this time, 10 to 20 answers of the largest model at one VM.
-	/// By time, and not by answers: an estimate so high that nothing is sent any more would otherwise last.
+	/// Half-life of an observed response's weight; a VM sees 10 to 20 responses of the largest model in it.
+	/// The decay is by time rather than by the number of responses, because an estimate so high that
+	/// nothing is sent any more would otherwise never recover.
 	duration half_life = std::chrono::seconds{10};
 };
 
-/// \brief Predicts the time to the first token from the work ahead of it, both measured as the router sees
-/// them. What the router does not see (work of other VMs that was told late, generated tokens) is in the
-/// ratio.
+/// \brief Predicts the time to first token from the queued work, both as observed by the router. The effect
+/// of what the router does not see (work of other VMs that is reported late, generated tokens) is part of
+/// the learned ratio.
 class first_token_time
 {
   public:
 	explicit first_token_time(first_token_tuning tuning = {}) : tuning_(tuning) {}
 
-	/// \brief Notes an answer.
-	/// \param work Tokens that were to be read before its first token, its own prompt's included.
-	/// \param took From sending to the first token.
+	/// \brief Records a response.
+	/// \param work Prompt tokens to process before its first token, those of its own prompt included.
+	/// \param took Time from sending the request to the first token.
 	void note(double work, duration took, instant now)
 	{
-		const auto left = weight_left(now);
-		work_ = work_ * left + work;
-		time_ms_ = time_ms_ * left + to_milliseconds(took);
-		noted_at_ = now;
+		const auto remaining = remaining_weight(now);
+		work_ = work_ * remaining + work;
+		time_ms_ = time_ms_ * remaining + to_milliseconds(took);
+		updated_at_ = now;
 	}
 
-	/// \brief Time to the first token with so much work before it.
+	/// \brief Returns the expected time to first token for an amount of queued work, in prompt tokens.
 	[[nodiscard]] duration expected(double work, instant now) const
 	{
-		const auto left = weight_left(now);
-		const auto assumed_ms = to_milliseconds(tuning_.assumed_time);
-		const auto sum_of_work = work_ * left + tuning_.assumed_speed * assumed_ms;
-		const auto sum_of_time = time_ms_ * left + assumed_ms;
-		return scaled(std::chrono::milliseconds{1}, work * sum_of_time / sum_of_work);
+		const auto remaining = remaining_weight(now);
+		const auto assumed_ms = to_milliseconds(tuning_.assumption_weight);
+		const auto total_work = work_ * remaining + tuning_.assumed_tokens_per_ms * assumed_ms;
+		const auto total_time = time_ms_ * remaining + assumed_ms;
+		return scaled(std::chrono::milliseconds{1}, work * total_time / total_work);
 	}
 
   private:
-	/// Share of the sums' weight that is left at a moment.
-	[[nodiscard]] double weight_left(instant now) const
+	/// Share of the sums' weight that remains at a moment.
+	[[nodiscard]] double remaining_weight(instant now) const
 	{
-		return std::exp2(-to_milliseconds(now - noted_at_) / to_milliseconds(tuning_.half_life));
+		return std::exp2(-to_milliseconds(now - updated_at_) / to_milliseconds(tuning_.half_life));
 	}
 
 	first_token_tuning tuning_;
 
-	/// Sums over the answers seen, older ones counting less, as of the last one.
+	/// Exponentially decayed sums over the observed responses, as of the last one.
 	double work_ = 0;
 	double time_ms_ = 0;
-	instant noted_at_;
+	instant updated_at_;
 };
 } // namespace gingerdyke::routing
--- a/include/gingerdyke/routing/fleet_list.hpp
+++ b/include/gingerdyke/routing/fleet_list.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The VMs that send to the same replicas, and this VM's place among them.
+// The VMs that send to the same replicas, and this VM's rank among them.
 #pragma once
 
 #include <gingerdyke/base/ids.hpp>
@@ -19,40 +19,42 @@
 /// \brief Tuning of `fleet_list`.
 struct fleet_list_tuning
 {
-	/// A list counts as fresh for this long after it was the newest, and a VM that has stood on it for longer
-	/// as known to the others: so each VM stands on every fresh list of another one. News of the list comes
-	/// within a second, but for lost answers.
+	/// A list is fresh for this long after it was last confirmed to be the newest, and the other VMs are
+	/// assumed to know a VM that has been on the list for longer than this. So every fresh list of another
+	/// VM contains all VMs that use a share. Changes of the list arrive within a second unless responses
+	/// are lost.
 	duration lifetime = std::chrono::seconds{5};
 };
 
-/// \brief Keeps the list of VMs. Each VM shares out by it what all VMs together may do, and asks no other
-/// one.
+/// \brief Keeps the list of VMs. Each VM derives its share of fleet-wide limits from the list, without
+/// asking other VMs.
 class fleet_list
 {
   public:
 	explicit fleet_list(fleet_list_tuning tuning = {}) : tuning_(tuning) {}
 
-	/// \brief Takes the list.
-	/// \param self This VM, which need not be on it yet.
+	/// \brief Replaces the list.
+	/// \param self This VM, which need not be on the list yet.
 	void set(const vm_id& self, const std::vector<fleet_member>& vms, instant now);
 
-	/// \brief Notes that the list was the newest at a moment.
-	void confirm(instant newest_at);
+	/// \brief Records that the list was the newest at a moment.
+	void confirm(instant confirmed_at);
 
-	/// \brief Whether the list was the newest lately.
+	/// \brief Whether the list was recently confirmed to be the newest.
 	[[nodiscard]] bool is_fresh(instant now) const;
 
-	/// \brief Whether the other VMs count this one, as far as their lists are fresh.
+	/// \brief Whether every other VM whose list is fresh has this VM on it.
 	[[nodiscard]] bool is_known_to_others(instant now) const;
 
 	[[nodiscard]] std::size_t size() const noexcept { return members_.size(); }
 
-	/// \brief Number of the list, from 1; 0: there is none yet.
-	[[nodiscard]] std::uint64_t number() const noexcept { return number_; }
+	/// \brief Generation of the list, from 1; 0: there is none yet.
+	[[nodiscard]] std::uint64_t number() const noexcept { return generation_; }
 
-	/// \brief How many VMs come before this one in the order of a replica. Failure domains take turns, so
-	/// that the first few VMs stand in as many of them as possible. A VM added to the list brings none
-	/// forward. \param replica Hash of the replica.
+	/// \brief Number of VMs that precede this one in the order of a replica. The order alternates between
+	/// failure domains, so that the first few VMs are in as many of them as possible. Adding a VM to the
+	/// list never lowers the rank of another one.
+	/// \param replica Hash of the replica.
 	[[nodiscard]] std::size_t rank(std::uint64_t replica) const;
 
   private:
@@ -64,27 +66,27 @@
 
 	fleet_list_tuning tuning_;
 	std::vector<member> members_;
-	std::uint64_t number_{};
+	std::uint64_t generation_{};
 	member self_;
 
 	/// When this VM was first seen on the list; none: it is not on it.
 	std::optional<instant> listed_at_;
-	std::optional<instant> newest_at_;
+	std::optional<instant> confirmed_at_;
 };
 
-/// \brief This VM's place in the order of one replica, worked out once for each list: choices ask for it
-/// again and again, and to put hundreds of VMs in order takes longer than the choice.
+/// \brief Caches this VM's rank for one replica until the list changes: every choice of a replica needs the
+/// rank, and sorting hundreds of VMs takes longer than the rest of the choice.
 class fleet_rank
 {
   public:
 	explicit fleet_rank(std::uint64_t replica) : replica_(replica) {}
 
-	/// \brief How many VMs come before this one.
+	/// \brief Number of VMs that precede this one.
 	[[nodiscard]] std::size_t in(const fleet_list& vms) const;
 
   private:
 	std::uint64_t replica_;
-	mutable std::size_t rank_{};
-	mutable std::uint64_t list_{};
+	mutable std::size_t cached_rank_{};
+	mutable std::uint64_t cached_generation_{};
 };
 } // namespace gingerdyke::routing
--- a/include/gingerdyke/routing/replica_set.hpp
+++ b/include/gingerdyke/routing/replica_set.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The replicas that discovery names, and when one that disappears is taken as gone.
+// The replicas found by service discovery, and when a missing one is considered gone.
 #pragma once
 
 #include <functional>
@@ -14,10 +14,11 @@
 
 namespace gingerdyke::routing
 {
-/// \brief Tells one start of a replica from another under the same id; no order is meant. 0: not stated.
+/// \brief Distinguishes processes of a replica that had the same id one after another; values are not
+/// ordered. 0: unknown.
 using replica_incarnation = quantity<struct replica_incarnation_tag>;
 
-/// \brief One replica as discovery describes it.
+/// \brief A replica as its registry entry describes it.
 struct replica
 {
 	replica_id id;
@@ -26,21 +27,22 @@
 	address at;
 	failure_domain_id domain;
 
-	/// Version of its software.
+	/// Software version.
 	std::string version;
 
-	/// Requests that it works on at once.
+	/// Maximum number of concurrent requests.
 	unsigned slots{};
 
-	/// It takes no new work: it leaves.
+	/// It is draining: it accepts no new requests and will exit.
 	bool leaving{};
 
-	/// How much longer it is cold, as its entry said when it was written; none: it does not say.
+	/// Remaining warm-up time, as of when its entry was written; none: its entry has none.
 	std::optional<duration> cold_left;
 
 	auto operator<=>(const replica&) const = default;
 
-	/// \brief Whether both are one process: one that started again under its id holds nothing of before.
+	/// \brief Whether both are the same process. After a restart under the same id a replica has nothing of
+	/// its previous state.
 	[[nodiscard]] bool is_same_process(const replica& other) const noexcept
 	{
 		return id == other.id && incarnation == other.incarnation;
@@ -49,44 +51,47 @@
 
 using replica_ptr = std::shared_ptr<const replica>;
 
-/// \brief A hash of a replica's process, the same on all VMs.
-[[nodiscard]] std::uint64_t process_hash(const replica& one) noexcept;
+/// \brief Hash of a replica's process, equal on all VMs.
+[[nodiscard]] std::uint64_t process_hash(const replica& process) noexcept;
 
-/// \brief What `replica_set` believes, and what changed it.
+/// \brief How the state of a replica in `replica_set` changed.
 enum class replica_change
 {
 	added,
 	changed,
-	/// Its entry tells another time for which it is cold, and nothing else: as each heartbeat of a cold one.
+	/// Only the remaining warm-up time in its entry changed, as with every heartbeat of a cold replica.
 	cold_time,
-	/// It started again under its id.
+	/// It restarted under the same id.
 	restarted,
 	leaving,
-	/// Its entry is missing while the registry is unsound: kept until the registry had time to recover.
+	/// Its entry is missing while the registry is unavailable or only just back: it is kept until the
+	/// registry has had time to recover.
 	suspected,
 	gone,
 };
 
-/// \brief The word for a change.
+/// \brief Returns the name of a change, as logged.
 [[nodiscard]] const char* name_of(replica_change change) noexcept;
 
 /// \brief Tuning of `replica_set`.
 struct replica_set_tuning
 {
-	/// Entries that lapsed during an outage of the registry are back within this time of its return. The
-	/// users state about two seconds.
-	duration return_time = std::chrono::milliseconds{2200};
-
-	/// Up to this share of a service's replicas, those whose entries are missing get no work. Where more are
-	/// missing an outage is the likelier cause, and the others would be overloaded.
-	double avoided_share = 0.5;
-
-	/// A replica's word that it leaves is kept for this long where its entry is missing: longer than it
-	/// serves on, and than entries are missing in an outage.
-	duration leaving_memory = std::chrono::minutes{5};
+	/// Entries that expired during a registry outage are back within this time of its end. Users specify
+	/// about two seconds.
+	duration reregistration_time = std::chrono::milliseconds{2200};
+
+	/// Replicas whose entries are missing get no requests as long as they are at most this share of their
+	/// service's replicas. If more are missing, a registry outage is the more likely cause, and the other
+	/// replicas would be overloaded.
+	double max_excluded_share = 0.5;
+
+	/// How long a replica's announcement that it is leaving is kept while its entry is missing: longer than
+	/// a leaving replica keeps serving, and longer than entries are missing in an outage.
+	duration leaving_lifetime = std::chrono::minutes{5};
 };
 
-/// \brief Follows discovery. Entries that vanish while the registry is away say nothing about the replica.
+/// \brief Tracks the replicas of the registry. Entries that vanish while the registry is unavailable do not
+/// mean that the replica is gone.
 class replica_set
 {
   public:
@@ -94,76 +99,76 @@
 
 	explicit replica_set(change_hook changed, replica_set_tuning tuning = {});
 
-	/// \brief Takes an entry that was written or changed.
+	/// \brief Adds or updates an entry.
 	void put(replica entry, instant now);
 
-	/// \brief Takes the news that an entry is missing.
+	/// \brief Records that an entry is missing from the registry.
 	void remove(const replica_id& id, instant now);
 
-	/// \brief Takes the whole registry; entries that are not in it are missing.
+	/// \brief Applies a full snapshot of the registry; entries that are not in it are missing.
 	void replace_all(std::vector<replica> entries, instant now);
 
-	/// \brief Notes that the registry can't be read.
+	/// \brief Records that the registry cannot be read.
 	void note_unsound(instant now);
 
-	/// \brief Notes that the registry answered.
-	/// \param at When it did; earlier than now where another VM's copy tells.
+	/// \brief Records that the registry answered.
+	/// \param at When it did; earlier than now if the snapshot comes from another VM.
 	void note_sound(instant at);
 
-	/// \brief A replica's own word that it leaves. It holds until its process has ended, whatever its entry
-	/// says before or after.
-	/// \returns Whether that is news.
-	bool note_leaving(const replica& one, instant now);
+	/// \brief Records a replica's own announcement that it is leaving. It holds until the process has
+	/// exited, whatever its entry says.
+	/// \returns Whether the announcement was not known before.
+	bool note_leaving(const replica& target, instant now);
 
-	/// \brief A replica's own word that another one has its address now.
+	/// \brief Removes a replica because the process at its address answered that it is a different replica.
 	void forget(const replica_id& id);
 
-	/// \brief Drops suspected replicas whose time is over.
-	/// \returns When this wants to be called next; none: not before the next change.
+	/// \brief Removes suspected replicas whose time is over.
+	/// \returns When this must be called next; none: not before the next change.
 	std::optional<instant> expire(instant now);
 
-	/// \brief Whether suspected replicas of a service are to be left out of a choice: their entries are
-	/// missing, and enough others have theirs.
+	/// \brief Whether suspected replicas of a service are excluded from choices because enough other
+	/// replicas have their entries.
 	[[nodiscard]] bool avoids_suspected(const service_id& service) const;
 
-	/// \brief Whether a replica may be sent new work: it is known as this process, does not leave and is not
-	/// left out.
-	[[nodiscard]] bool takes_work(const replica& one) const;
+	/// \brief Whether a replica may be sent new requests: it is known as this process, is not leaving, and
+	/// is not excluded.
+	[[nodiscard]] bool takes_work(const replica& target) const;
 
-	/// \brief Whether a replica is known, as the process that it is here.
-	[[nodiscard]] bool is_current(const replica& one) const;
+	/// \brief Whether the given process is the current one of its replica id.
+	[[nodiscard]] bool is_current(const replica& target) const;
 
-	/// \brief Replicas of a service, leaving ones too.
+	/// \brief Returns the replicas of a service, including leaving ones.
 	[[nodiscard]] const std::vector<replica_ptr>& of(const service_id& service) const;
 
-	/// \brief A replica by its id, or null.
+	/// \brief Finds a replica by its id, or null.
 	[[nodiscard]] replica_ptr find(const replica_id& id) const;
 
-	/// \brief Replicas of all services, leaving ones too.
+	/// \brief Returns the replicas of all services, including leaving ones.
 	[[nodiscard]] std::vector<replica_ptr> all() const;
 
 	[[nodiscard]] std::size_t size() const noexcept { return by_id_.size(); }
 
-	/// \brief Whether a replica's entry is missing and it is not taken as gone yet.
+	/// \brief Whether a replica's entry is missing but the replica is not considered gone yet.
 	[[nodiscard]] bool is_suspected(const replica_id& id) const { return suspected_.contains(id); }
 
-	/// \brief Replicas of all services whose entries are missing.
+	/// \brief Number of suspected replicas of all services.
 	[[nodiscard]] std::size_t suspected_count() const noexcept { return suspected_.size(); }
 
-	/// \brief True once the registry was read for the first time.
-	[[nodiscard]] bool known() const noexcept { return known_; }
+	/// \brief Whether the registry has been read at least once.
+	[[nodiscard]] bool known() const noexcept { return is_loaded_; }
 
   private:
-	[[nodiscard]] bool sound_for_long(instant now) const;
-	[[nodiscard]] duration sound_time(instant now) const;
-	void replace(const replica_ptr& known, replica entry, replica_change change);
-	void forget_old_leaves(instant now);
+	[[nodiscard]] bool is_registry_stable(instant now) const;
+	[[nodiscard]] duration registry_uptime(instant now) const;
+	void replace(const replica_ptr& current, replica entry, replica_change change);
+	void drop_old_announcements(instant now);
 	void drop(const replica_id& id);
 	void index(const replica_ptr& entry);
 	void unindex(const replica_ptr& entry);
 
-	/// A replica's own word that it leaves.
-	struct told_leave
+	/// A replica's own announcement that it is leaving.
+	struct leave_announcement
 	{
 		replica_incarnation incarnation;
 		instant at;
@@ -171,20 +176,20 @@
 
 	change_hook changed_;
 	replica_set_tuning tuning_;
-	bool known_ = false;
-	bool sound_ = false;
-	instant sound_since_;
-	instant lost_at_;
+	bool is_loaded_ = false;
+	bool is_registry_available_ = false;
+	instant registry_up_since_;
+	instant registry_down_since_;
 
-	/// How long the registry was sound before the present time of soundness, all such times together.
-	duration sound_before_{};
+	/// Total time for which the registry was available before the current period of availability.
+	duration previous_uptime_{};
 	std::map<replica_id, replica_ptr> by_id_;
 	std::map<service_id, std::vector<replica_ptr>> by_service_;
 
-	/// Suspected replicas, and when each is gone, in the time for which the registry was sound. A wait that
-	/// began anew with each loss of the registry would never end where it is lost every two seconds, and
-	/// requests would go to replicas that left long ago.
+	/// Suspected replicas, and the total registry uptime at which each is considered gone. A deadline that
+	/// restarted with each loss of the registry would never be reached if the registry is lost every two
+	/// seconds, and requests would go to replicas that left long ago.
 	std::map<replica_id, duration> suspected_;
-	std::map<replica_id, told_leave> told_leaves_;
+	std::map<replica_id, leave_announcement> leave_announcements_;
 };
 } // namespace gingerdyke::routing
--- a/include/gingerdyke/routing/rest_periods.hpp
+++ b/include/gingerdyke/routing/rest_periods.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Times for which replicas want nothing from this VM, as they say where they refuse a request.
+// Back-off periods that replicas request when they refuse a request.
 #pragma once
 
 #include <functional>
@@ -15,58 +15,61 @@
 /// \brief Tuning of `rest_periods`.
 struct rest_tuning
 {
-	/// Longer rests count as this one: no overload takes longer, and a wrong value must not take a replica
-	/// out of use for hours.
-	duration longest = std::chrono::minutes{10};
+	/// Maximum length of a back-off period: no overload lasts longer, and a wrong value must not take a
+	/// replica out of use for hours.
+	duration max_length = std::chrono::minutes{10};
 
-	/// VMs come back over this part of the rest after its end, but over no longer than the time below: all at
-	/// one moment would overload the replica again.
-	double spread = 0.1;
-	duration longest_spread = std::chrono::seconds{1};
+	/// VMs resume sending over this part of the period after its end, but over no longer than the time
+	/// below: if all resumed at the same moment, they would overload the replica again.
+	double resume_spread = 0.1;
+	duration max_resume_spread = std::chrono::seconds{1};
 
-	/// After a rest one request goes first. Where it gets no answer for this long another one goes: as long
-	/// as the first bytes of an answer take at a busy replica.
+	/// After the period, one request is sent first. If it gets no response for this long, another one is
+	/// sent. The first byte of a response from a busy replica takes about this long.
 	duration answer_time = std::chrono::seconds{2};
 };
 
-/// \brief Knows which replicas want nothing from this VM, and until when. The longest of several rests
-/// counts.
+/// \brief Tracks which replicas are in a back-off period, and until when. If several were requested, the
+/// latest end counts.
 class rest_periods
 {
   public:
-	/// \brief Told when a replica asks for rest, or for a longer one, by which request, and for how long.
-	using rest_hook = std::function<void(const replica&, const std::string& request, duration left)>;
+	/// \brief Called when a replica outside a back-off period requests one, with the id of the refused
+	/// request and the length of the period.
+	using rest_hook = std::function<void(const replica&, const std::string& request, duration length)>;
 
 	explicit rest_periods(rest_hook began, rest_tuning tuning = {})
 		: began_(std::move(began)), tuning_(tuning)
 	{
 	}
 
-	/// \brief Takes a replica's word that it wants nothing for a time.
-	/// \param request Id of the request that it refused, for the log.
-	void note_rest(const replica& from, duration span, const std::string& request, instant now);
+	/// \brief Records that a replica requests a back-off period.
+	/// \param request Id of the request that the replica refused, for the log.
+	void note_rest(const replica& sender, duration length, const std::string& request, instant now);
 
-	/// \brief Takes an answer that asks for no rest: after a rest, the replica takes all again.
-	/// \param sent_at When the request of that answer was sent.
-	void note_answer(const replica& from, instant sent_at);
+	/// \brief Records a response without a back-off request: if it answers a request sent after the period,
+	/// the replica accepts all requests again.
+	/// \param sent_at When the request that got this response was sent.
+	void note_answer(const replica& sender, instant sent_at);
 
-	/// \brief Notes a request that is sent to a replica.
-	void note_sent(const replica& one, instant now);
+	/// \brief Records a request that is sent to a replica.
+	void note_sent(const replica& target, instant now);
 
-	/// \brief Whether a replica wants nothing from this VM now.
-	[[nodiscard]] bool is_resting(const replica& one, instant now) const;
+	/// \brief Whether a replica is in a back-off period now.
+	[[nodiscard]] bool is_resting(const replica& target, instant now) const;
 
-	/// \brief Whether this VM may send a replica a request now: it does not rest, nor is the first request
-	/// after its rest still without an answer.
-	[[nodiscard]] bool takes(const replica& one, instant now) const;
+	/// \brief Whether this VM may send a request to a replica now: the replica is not in a back-off period,
+	/// and the first request after one is not still waiting for its response.
+	[[nodiscard]] bool takes(const replica& target, instant now) const;
 
-	/// \brief How long until the first resting replica of a service is back; none: none of them rests.
+	/// \brief Time until the first of a service's replicas leaves its back-off period; none: none of them
+	/// is in one.
 	[[nodiscard]] std::optional<duration> time_until_back(const service_id& service, instant now) const;
 
-	/// \brief Forgets a replica that is gone, or has started again.
+	/// \brief Drops the state of a replica that is gone or has restarted.
 	void forget(const replica_id& id) { states_.erase(id); }
 
-	/// \brief Replicas that want nothing now.
+	/// \brief Number of replicas in a back-off period.
 	[[nodiscard]] std::size_t count(instant now) const;
 
   private:
@@ -76,11 +79,11 @@
 		service_id service;
 		instant until;
 
-		/// When the first request after the rest was sent; none: not yet.
+		/// When the first request after the period was sent; none: not yet.
 		std::optional<instant> first_sent;
 	};
 
-	[[nodiscard]] const state* find(const replica& one) const;
+	[[nodiscard]] const state* find(const replica& target) const;
 
 	rest_hook began_;
 	rest_tuning tuning_;
--- a/include/gingerdyke/routing/slow_start.hpp
+++ b/include/gingerdyke/routing/slow_start.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Slow start: how many requests a cold replica gets from all VMs together, kept by each VM for itself.
+// Slow start: limits the requests that a cold replica, one that is still warming up, gets from all VMs
+// together; each VM computes its own share.
 #pragma once
 
 #include <deque>
@@ -13,73 +14,75 @@
 
 namespace gingerdyke::routing
 {
-/// \brief Why a replica counts as cold.
+/// \brief Why a replica is considered cold.
 enum class cold_reason
 {
 	/// Its entry says so.
 	told,
-	/// It started, and its entry does not say how long it is cold.
+	/// It has started, and its entry does not say how long it is cold.
 	started,
-	/// No connection to it came up: its process may have started again since its entry was read.
+	/// A connection to it failed: its process may have restarted since its entry was read.
 	unreachable,
-	/// Its failure domain got nothing for a while.
+	/// Its failure domain was evacuated and got no requests for a while.
 	evacuated,
 };
 
-/// \brief The word for a reason.
+/// \brief Returns the name of a reason, as logged.
 [[nodiscard]] const char* name_of(cold_reason reason) noexcept;
 
 /// \brief Tuning of `slow_start`.
 struct slow_start_tuning
 {
-	/// A VM's requests are counted over this time: a second, and the time by which two of them may come
-	/// closer together on their way than they were sent.
+	/// Sliding window over which a VM counts its requests: one second, plus the time by which the interval
+	/// between two requests may shrink on their way to the replica.
 	duration window = std::chrono::milliseconds{1050};
 };
 
-/// \brief Knows which replicas are cold and shares out what these bear.
+/// \brief Tracks which replicas are cold and computes this VM's share of their limits.
 ///
-/// No VM asks another one. A VM that knows n VMs may send a cold replica its equal part of the limit in each
-/// second; where there are more VMs than requests, one request, if a hash of VM and replica puts it among
-/// the first. VMs whose lists differ still keep the limit together: only one with a fresh list, and whom
-/// others count, has a share.
+/// VMs do not negotiate their shares. A VM with a list of n VMs may send a cold replica an equal part of
+/// the limit in each second. If there are more VMs than requests, it may send one request if a hash of VM
+/// and replica ranks it among the first VMs. VMs with different lists still keep to the limit together,
+/// because only a VM with a fresh list that is known to the other VMs has a share.
 class slow_start
 {
   public:
-	/// \brief Told when a replica begins to count as cold, and for how long.
-	using cold_hook = std::function<void(const replica&, cold_reason, duration left)>;
+	/// \brief Called when a replica becomes cold, with the remaining time.
+	using cold_hook = std::function<void(const replica&, cold_reason, duration remaining)>;
 
-	/// \param vms List of the VMs that send to the replicas; must outlive this.
+	/// \param vms List of the VMs that send to the replicas; must outlive this object.
 	slow_start(const fleet_list& vms, cold_hook began, slow_start_tuning tuning = {});
 
-	/// \brief Sets the limits; replicas of other services never count as cold.
+	/// \brief Sets the limits; replicas of services without one are never considered cold.
 	void set_limits(std::map<service_id, cold_limit> limits) { limits_ = std::move(limits); }
 
-	/// \brief Takes what a replica's entry says, where it says how long the replica is cold.
-	void note_told(const replica& one, instant now);
+	/// \brief Applies the remaining warm-up time in a replica's entry, if there is one.
+	void note_told(const replica& target, instant now);
 
-	/// \brief Notes that a replica may be cold: until its service's time of a start is over.
-	void note_unknown(const replica& one, cold_reason reason, instant now);
+	/// \brief Considers a replica cold for its service's warm-up time, because it may have restarted or
+	/// gone idle.
+	void note_unknown(const replica& target, cold_reason reason, instant now);
 
-	/// \brief Forgets a replica that is gone.
+	/// \brief Drops the state of a replica that is gone.
 	void forget(const replica_id& id) { states_.erase(id); }
 
-	/// \brief Whether a replica counts as cold.
-	[[nodiscard]] bool is_cold(const replica& one, instant now) const;
+	/// \brief Whether a replica is considered cold.
+	[[nodiscard]] bool is_cold(const replica& target, instant now) const;
 
-	/// \brief Whether this VM may send a replica a request now.
-	[[nodiscard]] bool takes(const replica& one, instant now) const;
+	/// \brief Whether this VM may send a request to a replica now.
+	[[nodiscard]] bool takes(const replica& target, instant now) const;
 
-	/// \brief Notes a request for a replica, cold or not.
-	void note_sent(const replica& one, instant now);
+	/// \brief Records a request to a replica, cold or not.
+	void note_sent(const replica& target, instant now);
 
-	/// \brief Notes that a request left later than it was noted, because its connection had to come up.
-	void note_left(const replica& one, instant sent_at, instant now);
+	/// \brief Moves a recorded request to the time at which it was actually sent, after its connection had
+	/// to be established first.
+	void note_left(const replica& target, instant sent_at, instant now);
 
-	/// \brief How long until a cold replica of a service is warm; none: none of them is cold.
+	/// \brief Time until the first of a service's cold replicas is warm; none: none of them is cold.
 	[[nodiscard]] std::optional<duration> time_until_warm(const service_id& service, instant now) const;
 
-	/// \brief Replicas that count as cold.
+	/// \brief Number of cold replicas.
 	[[nodiscard]] std::size_t cold_count(instant now) const;
 
   private:
@@ -88,16 +91,16 @@
 		service_id service;
 		instant cold_until;
 
-		fleet_rank place;
+		fleet_rank rank;
 
 		/// Requests of this VM within the window, the oldest first.
 		std::deque<instant> sent;
 	};
 
-	[[nodiscard]] const state* find_cold(const replica& one, instant now) const;
-	[[nodiscard]] std::size_t share_of(const state& of, instant now) const;
-	[[nodiscard]] bool has_list(instant now) const;
-	void extend(const replica& one, duration left, cold_reason reason, instant now);
+	[[nodiscard]] const state* find_cold(const replica& target, instant now) const;
+	[[nodiscard]] std::size_t share_of(const state& target, instant now) const;
+	[[nodiscard]] bool is_list_usable(instant now) const;
+	void extend(const replica& target, duration remaining, cold_reason reason, instant now);
 
 	const fleet_list& vms_;
 	cold_hook began_;
--- a/src/routing/announced_limits.cpp
+++ b/src/routing/announced_limits.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Requests a second that replicas in need ask for in their answers, and this VM's part of them.
+// Rate limits that overloaded replicas announce in their responses, and this VM's share of each.
 #include <algorithm>
 #include <cmath>
 #include <gingerdyke/base/crypto.hpp>
@@ -9,10 +9,11 @@
 {
 namespace
 {
-/// A limit of none at all counts as this one: some request has to find out that the need is over.
-constexpr double least_limit = 0.05;
+/// Lower limits, also 0, are raised to this many requests per second: some request has to find out that the
+/// overload is over.
+constexpr double min_limit = 0.05;
 
-duration seconds_of(double seconds)
+duration to_duration(double seconds)
 {
 	return std::chrono::duration_cast<duration>(std::chrono::duration<double>{seconds});
 }
@@ -37,167 +38,170 @@
 {
 }
 
-const announced_limits::state* announced_limits::find(const replica& one) const
+const announced_limits::state* announced_limits::find(const replica& target) const
 {
-	const auto found = states_.find(one.id);
-	const bool is_known = found != states_.end() && found->second.incarnation == one.incarnation;
-	return is_known ? &found->second : nullptr;
+	const auto found = states_.find(target.id);
+	const bool is_current = found != states_.end() && found->second.incarnation == target.incarnation;
+	return is_current ? &found->second : nullptr;
 }
 
-announced_limits::state& announced_limits::put(
-	const replica& of, double requests_per_s, instant named_at, instant now)
+announced_limits::state& announced_limits::set_limit(
+	const replica& target, double requests_per_s, instant last_announced_at, instant now)
 {
-	if (find(of) == nullptr)
+	if (find(target) == nullptr)
 	{
-		states_.erase(of.id);
-		const fleet_rank place{stable_hash(of.id.str())};
-		auto& made =
-			states_.emplace(of.id, state{of.incarnation, of.service, place, requests_per_s, named_at, {}, {}})
-				.first->second;
-		made.next_due = now + pace_of(made).first;
-		ended_.erase(of.id);
+		states_.erase(target.id);
+		const fleet_rank rank{stable_hash(target.id.str())};
+		auto& created = states_
+							.emplace(target.id, state{target.incarnation, target.service, rank,
+													requests_per_s, last_announced_at, {}, {}})
+							.first->second;
+		created.next_due_at = now + schedule_of(created).first;
+		removed_.erase(target.id);
 	}
-	auto& known = states_.at(of.id);
-	known.requests_per_s = requests_per_s;
-	known.named_at = std::max(known.named_at, named_at);
-	// A limit that has grown does not wait for the pace of before.
-	const auto allowed = pace_of(known);
-	known.next_due =
-		std::min(known.next_due, now + std::max({allowed.first, allowed.interval, tuning_.burst_time}));
-	return known;
+	auto& current = states_.at(target.id);
+	current.requests_per_s = requests_per_s;
+	current.last_announced_at = std::max(current.last_announced_at, last_announced_at);
+	// When a limit is raised, the next request does not wait for the longer interval of the old limit.
+	const auto new_schedule = schedule_of(current);
+	current.next_due_at = std::min(
+		current.next_due_at, now + std::max({new_schedule.first, new_schedule.interval, tuning_.burst_time}));
+	return current;
 }
 
-void announced_limits::note_answer(const replica& from, const limit_statement& said, instant now)
+void announced_limits::note_answer(const replica& sender, const limit_statement& announcement, instant now)
 {
-	const auto* known = find(from);
-	if (!said.requests_per_s)
+	const auto* current = find(sender);
+	if (!announcement.requests_per_s)
 	{
-		if (known != nullptr && said.sent_at > known->named_at)
+		if (current != nullptr && announcement.sent_at > current->last_announced_at)
 		{
-			states_.erase(from.id);
-			ended_[from.id] = {from.incarnation, said.sent_at};
-			changed_(from, limit_change::over, said);
+			states_.erase(sender.id);
+			removed_[sender.id] = {sender.incarnation, announcement.sent_at};
+			changed_(sender, limit_change::over, announcement);
 		}
 		return;
 	}
-	const bool is_new = known == nullptr;
-	const bool differs = is_new || known->requests_per_s != *said.requests_per_s;
-	put(from, *said.requests_per_s, now, now).heard_at = now;
-	if (differs)
+	const bool is_new = current == nullptr;
+	const bool is_changed = is_new || current->requests_per_s != *announcement.requests_per_s;
+	set_limit(sender, *announcement.requests_per_s, now, now).last_received_at = now;
+	if (is_changed)
 	{
-		changed_(from, is_new ? limit_change::named : limit_change::changed, said);
+		changed_(sender, is_new ? limit_change::named : limit_change::changed, announcement);
 	}
 }
 
-void announced_limits::note_elsewhere(const replica& of, const limit_news& heard, instant now)
+void announced_limits::note_elsewhere(const replica& target, const limit_news& update, instant now)
 {
-	const auto at = now - heard.age;
-	const auto* known = find(of);
-	if (of.incarnation != heard.incarnation || (known != nullptr && known->named_at >= at))
+	const auto learned_at = now - update.age;
+	const auto* current = find(target);
+	if (target.incarnation != update.incarnation ||
+		(current != nullptr && current->last_announced_at >= learned_at))
 	{
 		return;
 	}
-	if (!heard.requests_per_s)
+	if (!update.requests_per_s)
 	{
-		if (known != nullptr)
+		if (current != nullptr)
 		{
-			states_.erase(of.id);
-			changed_(of, limit_change::over, {{}, at, {}});
+			states_.erase(target.id);
+			changed_(target, limit_change::over, {{}, learned_at, {}});
 		}
 		return;
 	}
-	if (is_over_since(of, at))
+	if (is_removed_since(target, learned_at))
 	{
 		return;
 	}
-	const bool is_new = known == nullptr;
-	static_cast<void>(put(of, *heard.requests_per_s, at, now));
+	const bool is_new = current == nullptr;
+	static_cast<void>(set_limit(target, *update.requests_per_s, learned_at, now));
 	if (is_new)
 	{
-		changed_(of, limit_change::named, {heard.requests_per_s, at, {}});
+		changed_(target, limit_change::named, {update.requests_per_s, learned_at, {}});
 	}
 }
 
-bool announced_limits::is_over_since(const replica& of, instant at) const
+bool announced_limits::is_removed_since(const replica& target, instant at) const
 {
-	const auto found = ended_.find(of.id);
-	return found != ended_.end() && found->second.incarnation == of.incarnation &&
-		   found->second.over_at >= at;
+	const auto found = removed_.find(target.id);
+	return found != removed_.end() && found->second.incarnation == target.incarnation &&
+		   found->second.removed_at >= at;
 }
 
 std::vector<limit_news> announced_limits::own_news(instant now) const
 {
-	std::vector<limit_news> news;
-	for (const auto& [id, one] : states_)
+	std::vector<limit_news> updates;
+	for (const auto& [id, limit] : states_)
 	{
-		if (one.heard_at && now - *one.heard_at <= tuning_.news_lifetime)
+		if (limit.last_received_at && now - *limit.last_received_at <= tuning_.report_lifetime)
 		{
-			news.push_back({id, one.incarnation, one.requests_per_s, now - *one.heard_at});
+			updates.push_back({id, limit.incarnation, limit.requests_per_s, now - *limit.last_received_at});
 		}
 	}
-	for (const auto& [id, one] : ended_)
+	for (const auto& [id, limit] : removed_)
 	{
-		if (now - one.over_at <= tuning_.news_lifetime)
+		if (now - limit.removed_at <= tuning_.report_lifetime)
 		{
-			news.push_back({id, one.incarnation, std::nullopt, now - one.over_at});
+			updates.push_back({id, limit.incarnation, std::nullopt, now - limit.removed_at});
 		}
 	}
-	return news;
+	return updates;
 }
 
 void announced_limits::forget(const replica_id& id)
 {
 	states_.erase(id);
-	ended_.erase(id);
+	removed_.erase(id);
 }
 
-bool announced_limits::takes(const replica& one, instant now) const
+bool announced_limits::takes(const replica& target, instant now) const
 {
-	const auto* known = find(one);
-	return known == nullptr || (vms_.is_known_to_others(now) && now >= next_request(*known));
+	const auto* current = find(target);
+	return current == nullptr || (vms_.is_known_to_others(now) && now >= next_send_time(*current));
 }
 
-void announced_limits::note_sent(const replica& one, instant now)
+void announced_limits::note_sent(const replica& target, instant now)
 {
-	if (find(one) != nullptr)
+	if (find(target) != nullptr)
 	{
-		auto& known = states_.at(one.id);
-		known.next_due = std::max(known.next_due, now) + pace_of(known).interval;
+		auto& current = states_.at(target.id);
+		current.next_due_at = std::max(current.next_due_at, now) + schedule_of(current).interval;
 	}
 }
 
 std::optional<duration> announced_limits::time_until_share(const service_id& service, instant now) const
 {
 	std::optional<duration> shortest;
-	for (const auto& [id, one] : states_)
+	for (const auto& [id, limit] : states_)
 	{
-		if (one.service == service)
+		if (limit.service == service)
 		{
-			const auto left = std::max(next_request(one) - now, duration{0});
-			shortest = std::min(shortest.value_or(left), left);
+			const auto wait = std::max(next_send_time(limit) - now, duration{0});
+			shortest = std::min(shortest.value_or(wait), wait);
 		}
 	}
 	return shortest;
 }
 
-instant announced_limits::next_request(const state& of) const
+instant announced_limits::next_send_time(const state& target) const
 {
-	return of.next_due - std::max(tuning_.burst_time - pace_of(of).interval, duration{0});
+	return target.next_due_at - std::max(tuning_.burst_time - schedule_of(target).interval, duration{0});
 }
 
-announced_limits::pace announced_limits::pace_of(const state& of) const
+announced_limits::schedule announced_limits::schedule_of(const state& target) const
 {
-	const auto limit = std::max(of.requests_per_s, least_limit);
+	const auto limit = std::max(target.requests_per_s, min_limit);
 	const auto vms = std::max(1.0, static_cast<double>(vms_.size()));
-	const bool all_have_share = vms <= 2 * limit + tuning_.burst;
-	const auto shares = all_have_share ? vms : std::floor(limit) + tuning_.burst;
-	const auto turn = static_cast<double>(of.place.in(vms_)) + 1;
-	if (turn <= shares)
+	const bool every_vm_has_share = vms <= 2 * limit + tuning_.burst;
+	const auto shares = every_vm_has_share ? vms : std::floor(limit) + tuning_.burst;
+	const auto position = static_cast<double>(target.rank.in(vms_)) + 1;
+	if (position <= shares)
 	{
-		const auto longest = tuning_.longest_interval;
-		return {std::min(seconds_of(turn / limit), longest), std::min(seconds_of(shares / limit), longest)};
+		const auto interval_cap = tuning_.max_interval;
+		return {std::min(to_duration(position / limit), interval_cap),
+			std::min(to_duration(shares / limit), interval_cap)};
 	}
-	const auto probing = limit * tuning_.probing_share;
-	return {seconds_of(turn / probing), seconds_of(vms / probing)};
+	const auto probe_rate = limit * tuning_.probe_share;
+	return {to_duration(position / probe_rate), to_duration(vms / probe_rate)};
 }
 } // namespace gingerdyke::routing
--- a/src/routing/catalog.cpp
+++ b/src/routing/catalog.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The configuration in force, indexed by host and prefix.
+// The active configuration, indexed by host and path prefix.
 #include <algorithm>
 #include <cctype>
 #include <gingerdyke/routing/catalog.hpp>
@@ -8,7 +8,7 @@
 {
 namespace
 {
-/// Host names compare without regard to case, and the port does not count.
+/// Host names are compared without regard to case, and a port is ignored.
 std::string host_key(std::string_view host)
 {
 	const auto colon = host.find(':');
@@ -23,18 +23,18 @@
 
 catalog::catalog(catalog_data data) : data_(std::move(data))
 {
-	for (const auto& one : data_.routes)
+	for (const auto& item : data_.routes)
 	{
-		by_host_[host_key(one.host)].push_back(&one);
+		by_host_[host_key(item.host)].push_back(&item);
 	}
 	for (auto& [host, routes] : by_host_)
 	{
 		std::stable_sort(routes.begin(), routes.end(),
 			[](const route* a, const route* b) { return a->path_prefix.size() > b->path_prefix.size(); });
 	}
-	for (const auto& one : data_.services)
+	for (const auto& item : data_.services)
 	{
-		by_service_[one.id.str()] = &one;
+		by_service_[item.id.str()] = &item;
 	}
 }
 
@@ -45,9 +45,9 @@
 	{
 		return nullptr;
 	}
-	const auto matches = [path](const route* one) { return path.starts_with(one->path_prefix); };
-	const auto longest = std::find_if(found->second.begin(), found->second.end(), matches);
-	return longest == found->second.end() ? nullptr : *longest;
+	const auto matches = [path](const route* candidate) { return path.starts_with(candidate->path_prefix); };
+	const auto match = std::find_if(found->second.begin(), found->second.end(), matches);
+	return match == found->second.end() ? nullptr : *match;
 }
 
 const workspace* catalog::find_workspace(const std::string& key) const
@@ -64,35 +64,35 @@
 
 double service::relative_cost(const model_id& model) const
 {
-	double dearest = 0;
+	double max_cost = 0;
 	double cost = 0;
-	for (const auto& one : models)
+	for (const auto& candidate : models)
 	{
-		dearest = std::max(dearest, one.cost);
-		cost = one.model == model ? one.cost : cost;
+		max_cost = std::max(max_cost, candidate.cost);
+		cost = candidate.model == model ? candidate.cost : cost;
 	}
-	return cost > 0 ? cost / dearest : 1;
+	return cost > 0 ? cost / max_cost : 1;
 }
 
-const service_id& pick_service(const route& route, std::uint64_t point)
+const service_id& pick_service(const route& route, std::uint64_t hash)
 {
 	std::uint64_t total = 0;
-	for (const auto& one : route.services)
+	for (const auto& option : route.services)
 	{
-		total += one.weight;
+		total += option.weight;
 	}
 	if (total == 0)
 	{
 		return route.services.front().service;
 	}
-	auto left = point % total;
-	for (const auto& one : route.services)
+	auto remaining = hash % total;
+	for (const auto& option : route.services)
 	{
-		if (left < one.weight)
+		if (remaining < option.weight)
 		{
-			return one.service;
+			return option.service;
 		}
-		left -= one.weight;
+		remaining -= option.weight;
 	}
 	return route.services.back().service;
 }
--- a/src/routing/evacuated_domains.cpp
+++ b/src/routing/evacuated_domains.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The failure domains that operators evacuate.
+// The failure domains that operators evacuate; their replicas get no requests.
 #include <gingerdyke/routing/evacuated_domains.hpp>
 
 namespace gingerdyke::routing
@@ -20,14 +20,14 @@
 	}
 }
 
-void evacuated_domains::retain(const std::set<failure_domain_id>& standing)
+void evacuated_domains::retain(const std::set<failure_domain_id>& active)
 {
 	const auto before = domains_;
-	for (const auto& one : before)
+	for (const auto& domain : before)
 	{
-		if (!standing.contains(one))
+		if (!active.contains(domain))
 		{
-			remove(one);
+			remove(domain);
 		}
 	}
 }
--- a/src/routing/fleet_list.cpp
+++ b/src/routing/fleet_list.cpp
@@ -9,13 +9,13 @@
 {
 void fleet_list::set(const vm_id& self, const std::vector<fleet_member>& vms, instant now)
 {
-	++number_;
+	++generation_;
 	members_.clear();
 	bool is_listed = false;
-	for (const auto& one : vms)
+	for (const auto& vm : vms)
 	{
-		members_.push_back({stable_hash(one.id.str()), stable_hash(one.domain.str())});
-		if (one.id == self)
+		members_.push_back({stable_hash(vm.id.str()), stable_hash(vm.domain.str())});
+		if (vm.id == self)
 		{
 			self_ = members_.back();
 			is_listed = true;
@@ -24,14 +24,14 @@
 	listed_at_ = is_listed ? std::optional{listed_at_.value_or(now)} : std::nullopt;
 }
 
-void fleet_list::confirm(instant newest_at)
+void fleet_list::confirm(instant confirmed_at)
 {
-	newest_at_ = std::max(newest_at_.value_or(newest_at), newest_at);
+	confirmed_at_ = std::max(confirmed_at_.value_or(confirmed_at), confirmed_at);
 }
 
 bool fleet_list::is_fresh(instant now) const
 {
-	return newest_at_ && now - *newest_at_ <= tuning_.lifetime;
+	return confirmed_at_ && now - *confirmed_at_ <= tuning_.lifetime;
 }
 
 bool fleet_list::is_known_to_others(instant now) const
@@ -42,32 +42,32 @@
 std::size_t fleet_list::rank(std::uint64_t replica) const
 {
 	std::map<std::uint64_t, std::vector<std::uint64_t>> by_domain;
-	for (const auto& one : members_)
+	for (const auto& member : members_)
 	{
-		by_domain[one.domain].push_back(mix_hash(replica, one.hash));
+		by_domain[member.domain].push_back(mix_hash(replica, member.hash));
 	}
 	const auto own = mix_hash(replica, self_.hash);
-	auto& near = by_domain[self_.domain];
-	const auto turn = static_cast<std::size_t>(
-		std::count_if(near.begin(), near.end(), [&](std::uint64_t vm) { return vm < own; }));
-	std::size_t before = 0;
-	for (auto& [domain, places] : by_domain)
+	auto& local = by_domain[self_.domain];
+	const auto local_rank = static_cast<std::size_t>(
+		std::count_if(local.begin(), local.end(), [&](std::uint64_t vm) { return vm < own; }));
+	std::size_t preceding = 0;
+	for (auto& [domain, hashes] : by_domain)
 	{
-		std::sort(places.begin(), places.end());
-		before += std::min(turn, places.size());
-		const bool is_first_of_turn = turn < places.size() && places[turn] < own;
-		before += is_first_of_turn ? 1 : 0;
+		std::sort(hashes.begin(), hashes.end());
+		preceding += std::min(local_rank, hashes.size());
+		const bool precedes_in_round = local_rank < hashes.size() && hashes[local_rank] < own;
+		preceding += precedes_in_round ? 1 : 0;
 	}
-	return before;
+	return preceding;
 }
 
 std::size_t fleet_rank::in(const fleet_list& vms) const
 {
-	if (list_ != vms.number())
+	if (cached_generation_ != vms.number())
 	{
-		rank_ = vms.rank(replica_);
-		list_ = vms.number();
+		cached_rank_ = vms.rank(replica_);
+		cached_generation_ = vms.number();
 	}
-	return rank_;
+	return cached_rank_;
 }
 } // namespace gingerdyke::routing
--- a/src/routing/replica_selector.cpp
+++ b/src/routing/replica_selector.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The choice among a service's replicas.
+// Load balancing among a service's replicas.
 #include <algorithm>
 #include <cmath>
 #include <gingerdyke/base/crypto.hpp>
@@ -15,64 +15,66 @@
 {
 }
 
-replica_ptr replica_selector::choose(const selection& what, instant now) const
+replica_ptr replica_selector::choose(const selection& request, instant now) const
 {
-	const auto from = usable(what, now);
-	if (from.empty())
+	const auto eligible = usable(request, now);
+	if (eligible.empty())
 	{
 		return nullptr;
 	}
-	return what.is_engine ? by_work(from, what, now) : by_load(from);
+	return request.is_engine ? choose_by_work(eligible, request, now) : choose_by_load(eligible);
 }
 
-replica_selector::candidates replica_selector::usable(const selection& what, instant now) const
+replica_selector::candidates replica_selector::usable(const selection& request, instant now) const
 {
-	candidates open;
-	candidates all;
-	candidates dark;
-	// A replica that removes its entry without having said that it drains is known by the missing entry only.
-	const bool avoids_suspected = replicas_.avoids_suspected(what.service);
-	for (const auto& one : replicas_.of(what.service))
+	candidates available;
+	candidates reachable;
+	candidates unreachable;
+	// A replica that removes its registry entry without having announced that it drains shows only by the
+	// missing entry.
+	const bool excludes_suspected = replicas_.avoids_suspected(request.service);
+	for (const auto& candidate : replicas_.of(request.service))
 	{
-		const bool is_avoided = avoids_suspected && replicas_.is_suspected(one->id);
-		if (one->leaving || is_avoided || !what.usable(*one))
+		const bool is_excluded = excludes_suspected && replicas_.is_suspected(candidate->id);
+		if (candidate->leaving || is_excluded || !request.usable(*candidate))
 		{
 			continue;
 		}
-		if (is_dark(one->domain, now))
+		if (is_domain_unreachable(candidate->domain, now))
 		{
-			dark.push_back(&one);
+			unreachable.push_back(&candidate);
 			continue;
 		}
-		all.push_back(&one);
-		const auto* known = find(one->id);
-		if (known == nullptr || known->ejected_until <= now)
+		reachable.push_back(&candidate);
+		const auto* stats = find_stats(candidate->id);
+		if (stats == nullptr || stats->ejected_until <= now)
 		{
-			open.push_back(&one);
+			available.push_back(&candidate);
 		}
 	}
-	if (all.empty())
+	if (reachable.empty())
 	{
-		return dark;
+		return unreachable;
 	}
-	// Where most look bad, the fault is more likely common to all: ejection would only add overload.
-	const auto floor = tuning_.kept_share * static_cast<double>(all.size());
-	return static_cast<double>(open.size()) < floor ? all : open;
+	// If most replicas look bad, they more likely have a common cause: ejecting them would only overload
+	// the others.
+	const auto min_available = tuning_.min_available_share * static_cast<double>(reachable.size());
+	return static_cast<double>(available.size()) < min_available ? reachable : available;
 }
 
 namespace
 {
-/// The replica that all VMs favour for the same shared parts (rendezvous hashing).
-const replica_ptr* favoured(const std::vector<const replica_ptr*>& from, std::uint64_t affinity)
+/// Returns the replica that all VMs prefer for the same shared prefix (rendezvous hashing).
+const replica_ptr* preferred(const std::vector<const replica_ptr*>& from, std::uint64_t affinity)
 {
 	const replica_ptr* best = nullptr;
 	std::uint64_t best_score = 0;
-	for (const auto* one : from)
+	for (const auto* candidate : from)
 	{
-		const auto score = mix_hash(affinity, stable_hash((*one)->id.str()));
+		const auto score = mix_hash(affinity, stable_hash((*candidate)->id.str()));
 		if (best == nullptr || score > best_score)
 		{
-			best = one;
+			best = candidate;
 			best_score = score;
 		}
 	}
@@ -80,225 +82,233 @@
 }
 } // namespace
 
-replica_ptr replica_selector::by_work(const candidates& from, const selection& what, instant now) const
+replica_ptr replica_selector::choose_by_work(
+	const candidates& from, const selection& request, instant now) const
 {
 	const replica_ptr* best = nullptr;
 	double best_work = 0;
-	const auto consider = [&](const replica_ptr* one, double spared)
+	const auto consider = [&](const replica_ptr* candidate, double saved_work)
 	{
-		const auto way = (*one)->domain == own_domain_ ? 0 : tuning_.far_work;
-		const auto work = work_at(**one, now) + way - spared;
+		const auto penalty = (*candidate)->domain == own_domain_ ? 0 : tuning_.cross_domain_work;
+		const auto work = work_at(**candidate, now) + penalty - saved_work;
 		if (best == nullptr || work < best_work)
 		{
-			best = one;
+			best = candidate;
 			best_work = work;
 		}
 	};
-	const auto near_ones = near(from);
-	if (what.affinity != 0)
+	const auto local = in_own_domain(from);
+	if (request.affinity != 0)
 	{
-		const auto spared = what.shared_work + tuning_.affinity_margin * what.model_weight;
-		consider(favoured(from, what.affinity), spared);
-		if (!near_ones.empty() && what.model_weight < tuning_.near_affinity_below)
+		const auto saved_work = request.shared_work + tuning_.affinity_margin * request.model_weight;
+		consider(preferred(from, request.affinity), saved_work);
+		if (!local.empty() && request.model_weight < tuning_.local_affinity_below)
 		{
-			consider(favoured(near_ones, what.affinity), spared);
+			consider(preferred(local, request.affinity), saved_work);
 		}
 	}
-	for (const auto* one : draw(tuning_.drawn_near, near_ones))
+	for (const auto* candidate : sample(tuning_.local_samples, local))
 	{
-		consider(one, 0);
+		consider(candidate, 0);
 	}
-	for (const auto* one : draw(tuning_.drawn, from))
+	for (const auto* candidate : sample(tuning_.global_samples, from))
 	{
-		consider(one, 0);
+		consider(candidate, 0);
 	}
 	return *best;
 }
 
-replica_selector::candidates replica_selector::near(const candidates& from) const
+replica_selector::candidates replica_selector::in_own_domain(const candidates& from) const
 {
-	candidates found;
-	std::copy_if(from.begin(), from.end(), std::back_inserter(found),
-		[this](const replica_ptr* one) { return (*one)->domain == own_domain_; });
-	return found;
+	candidates local;
+	std::copy_if(from.begin(), from.end(), std::back_inserter(local),
+		[this](const replica_ptr* candidate) { return (*candidate)->domain == own_domain_; });
+	return local;
 }
 
-replica_selector::candidates replica_selector::draw(unsigned count, const candidates& from) const
+replica_selector::candidates replica_selector::sample(unsigned count, const candidates& from) const
 {
 	if (from.size() <= count)
 	{
 		return from;
 	}
-	candidates some;
+	candidates sampled;
 	for (unsigned i = 0; i < count; ++i)
 	{
-		some.push_back(from[random_below(random_, from.size())]);
+		sampled.push_back(from[random_below(random_, from.size())]);
 	}
-	return some;
+	return sampled;
 }
 
-double replica_selector::work_at(const replica& one, instant now) const
+double replica_selector::work_at(const replica& target, instant now) const
 {
-	const auto* known = find(one.id);
-	const auto own = known == nullptr ? 0 : known->open_tokens;
-	const auto elsewhere = elsewhere_.find(one.id);
-	const bool is_told = elsewhere != elsewhere_.end() && now - elsewhere_at_ <= tuning_.elsewhere_lifetime;
-	return own + (is_told ? elsewhere->second : 0);
+	const auto* stats = find_stats(target.id);
+	const auto own = stats == nullptr ? 0 : stats->outstanding_tokens;
+	const auto remote = remote_work_.find(target.id);
+	const bool is_recent =
+		remote != remote_work_.end() && now - remote_work_at_ <= tuning_.remote_work_lifetime;
+	return own + (is_recent ? remote->second : 0);
 }
 
-replica_ptr replica_selector::by_load(const candidates& from) const
+replica_ptr replica_selector::choose_by_load(const candidates& from) const
 {
 	const auto start = random_below(random_, from.size());
 	const replica_ptr* best = nullptr;
 	double best_cost = 0;
 	for (std::size_t i = 0; i < from.size(); ++i)
 	{
-		const auto* one = from[(start + i) % from.size()];
-		const auto cost = cost_of(**one);
+		const auto* candidate = from[(start + i) % from.size()];
+		const auto cost = cost_of(**candidate);
 		if (best == nullptr || cost < best_cost)
 		{
-			best = one;
+			best = candidate;
 			best_cost = cost;
 		}
 	}
 	return *best;
 }
 
-double replica_selector::cost_of(const replica& one) const
+double replica_selector::cost_of(const replica& target) const
 {
-	const auto* known = find(one.id);
-	const auto assumed = static_cast<double>(tuning_.assumed_time.count());
-	const auto mean = known == nullptr || known->mean_us == 0 ? assumed : known->mean_us;
-	const auto open = known == nullptr ? 0 : known->open;
-	const auto penalty = one.domain == own_domain_ ? 0 : static_cast<double>(tuning_.far_penalty.count());
-	return mean * (1 + open) + penalty;
+	const auto* stats = find_stats(target.id);
+	const auto assumed_us = static_cast<double>(tuning_.assumed_response_time.count());
+	const auto response_us =
+		stats == nullptr || stats->mean_response_us == 0 ? assumed_us : stats->mean_response_us;
+	const auto open = stats == nullptr ? 0 : stats->open;
+	const auto penalty_us =
+		target.domain == own_domain_ ? 0 : static_cast<double>(tuning_.cross_domain_penalty.count());
+	return response_us * (1 + open) + penalty_us;
 }
 
-void replica_selector::note_sent(const replica& one, double tokens)
+void replica_selector::note_sent(const replica& target, double tokens)
 {
-	if (auto* known = find_current(one))
+	if (auto* stats = find_current(target))
 	{
-		++known->open;
-		known->open_tokens += tokens;
+		++stats->open;
+		stats->outstanding_tokens += tokens;
 	}
 }
 
-void replica_selector::note_part_done(const replica& one, double tokens)
+void replica_selector::note_part_done(const replica& target, double tokens)
 {
-	if (auto* known = find_current(one))
+	if (auto* stats = find_current(target))
 	{
-		known->take_off(tokens);
+		stats->remove_work(tokens);
 	}
 }
 
-void replica_selector::note_over(const replica& one, double tokens)
+void replica_selector::note_over(const replica& target, double tokens)
 {
-	auto* known = find_current(one);
-	if (known == nullptr || known->open == 0)
+	auto* stats = find_current(target);
+	if (stats == nullptr || stats->open == 0)
 	{
 		return;
 	}
-	--known->open;
-	known->take_off(tokens);
+	--stats->open;
+	stats->remove_work(tokens);
 }
 
-void replica_selector::note_result(const replica& one, replica_result result, duration took, instant now)
+void replica_selector::note_result(const replica& target, replica_result result, duration took, instant now)
 {
-	auto* current = find_current(one);
+	auto* current = find_current(target);
 	if (current == nullptr)
 	{
 		return;
 	}
-	note_domain(one, result, now);
-	auto& known = *current;
+	record_domain_result(target, result, now);
+	auto& stats = *current;
 	const bool is_unreachable = result == replica_result::not_connected;
 	const bool failed =
 		result == replica_result::failed || result == replica_result::no_answer || is_unreachable;
-	const auto weight = tuning_.rate_weight;
+	const auto weight = tuning_.failure_rate_weight;
 	const auto value = failed ? 1.0 : 0.0;
-	known.failure_rate += weight * (value - known.failure_rate);
-	// The service's own rate moves slower, by as much as it has more replicas.
-	auto& service_rate = service_rates_[one.service];
-	const auto peers = static_cast<double>(std::max<std::size_t>(1, replicas_.of(one.service).size()));
+	stats.failure_rate += weight * (value - stats.failure_rate);
+	// The service's failure rate is averaged over all its replicas, so each result has a smaller weight.
+	auto& service_rate = service_failure_rates_[target.service];
+	const auto peers = static_cast<double>(std::max<std::size_t>(1, replicas_.of(target.service).size()));
 	service_rate += weight / peers * (value - service_rate);
 
 	if (result == replica_result::answered)
 	{
-		known.streak = 0;
+		stats.consecutive_failures = 0;
 		const auto time = static_cast<double>(took.count());
-		known.mean_us = known.mean_us == 0 ? time : known.mean_us + weight * (time - known.mean_us);
+		stats.mean_response_us = stats.mean_response_us == 0
+									 ? time
+									 : stats.mean_response_us + weight * (time - stats.mean_response_us);
 	}
 	if (result == replica_result::no_answer)
 	{
-		++known.streak;
+		++stats.consecutive_failures;
 	}
 	if (is_unreachable)
 	{
-		known.streak = tuning_.ejection_streak;
+		stats.consecutive_failures = tuning_.ejection_failures;
 	}
 	const auto bound = std::max(tuning_.ejection_rate, tuning_.ejection_multiple * service_rate);
-	if (failed && (known.streak >= tuning_.ejection_streak || known.failure_rate > bound))
+	if (failed && (stats.consecutive_failures >= tuning_.ejection_failures || stats.failure_rate > bound))
 	{
-		eject(one, known, now);
+		eject(target, stats, now);
 	}
 }
 
-void replica_selector::note_domain(const replica& one, replica_result result, instant now)
+void replica_selector::record_domain_result(const replica& target, replica_result result, instant now)
 {
-	auto& silent = domains_[one.domain].silent;
+	auto& unresponsive = domains_[target.domain].unresponsive;
 	if (result != replica_result::no_answer && result != replica_result::not_connected)
 	{
-		silent.clear();
+		unresponsive.clear();
 		return;
 	}
-	std::erase_if(silent, [&](const auto& entry) { return now - entry.second > tuning_.dark_memory; });
-	silent[one.id] = now;
+	std::erase_if(unresponsive,
+		[&](const auto& entry) { return now - entry.second > tuning_.unreachable_domain_window; });
+	unresponsive[target.id] = now;
 }
 
-bool replica_selector::is_dark(const failure_domain_id& domain, instant now) const
+bool replica_selector::is_domain_unreachable(const failure_domain_id& domain, instant now) const
 {
 	const auto found = domains_.find(domain);
 	if (found == domains_.end())
 	{
 		return false;
 	}
-	const auto& silent = found->second.silent;
-	const auto lately = std::count_if(silent.begin(), silent.end(),
-		[&](const auto& entry) { return now - entry.second <= tuning_.dark_memory; });
-	return static_cast<std::size_t>(lately) >= tuning_.dark_replicas;
+	const auto& unresponsive = found->second.unresponsive;
+	const auto recent = std::count_if(unresponsive.begin(), unresponsive.end(),
+		[&](const auto& entry) { return now - entry.second <= tuning_.unreachable_domain_window; });
+	return static_cast<std::size_t>(recent) >= tuning_.unreachable_domain_replicas;
 }
 
-void replica_selector::eject(const replica& one, state& of, instant now)
+void replica_selector::eject(const replica& target, replica_stats& stats, instant now)
 {
-	if (of.ejected_until > now)
+	if (stats.ejected_until > now)
 	{
 		return;
 	}
-	constexpr unsigned longest_shift = 6;
-	const auto span = tuning_.first_ejection * (1U << std::min(of.ejections, longest_shift));
-	const auto bounded = std::min<duration>(span, tuning_.longest_ejection);
-	++of.ejections;
-	ejected_(one.id, of.failure_rate, bounded);
-	of.ejected_until = now + bounded;
-	// Back on probation: one more failure ejects it again, a good answer clears it.
-	of.streak = tuning_.ejection_streak - 1;
-	of.failure_rate = std::min(of.failure_rate, tuning_.ejection_rate);
+	constexpr unsigned max_shift = 6;
+	const auto span = tuning_.first_ejection * (1U << std::min(stats.ejections, max_shift));
+	const auto capped = std::min<duration>(span, tuning_.max_ejection);
+	++stats.ejections;
+	ejected_(target.id, stats.failure_rate, capped);
+	stats.ejected_until = now + capped;
+	// After the ejection the replica is on probation: one more failure ejects it again, a response clears
+	// it.
+	stats.consecutive_failures = tuning_.ejection_failures - 1;
+	stats.failure_rate = std::min(stats.failure_rate, tuning_.ejection_rate);
 }
 
 void replica_selector::forget(const replica_id& id)
 {
-	states_.erase(id);
-	elsewhere_.erase(id);
+	stats_.erase(id);
+	remote_work_.erase(id);
 }
 
 std::vector<replica_work> replica_selector::open_work() const
 {
 	std::vector<replica_work> all;
-	for (const auto& [id, known] : states_)
+	for (const auto& [id, stats] : stats_)
 	{
-		if (known.open_tokens > 0)
+		if (stats.outstanding_tokens > 0)
 		{
-			all.push_back({id, known.open_tokens});
+			all.push_back({id, stats.outstanding_tokens});
 		}
 	}
 	return all;
@@ -306,22 +316,22 @@
 
 void replica_selector::note_elsewhere(const std::vector<replica_work>& work, instant now)
 {
-	elsewhere_.clear();
-	for (const auto& one : work)
+	remote_work_.clear();
+	for (const auto& reported : work)
 	{
-		elsewhere_[one.replica] = one.tokens;
+		remote_work_[reported.replica] = reported.tokens;
 	}
-	elsewhere_at_ = now;
+	remote_work_at_ = now;
 }
 
-const replica_selector::state* replica_selector::find(const replica_id& id) const
+const replica_selector::replica_stats* replica_selector::find_stats(const replica_id& id) const
 {
-	const auto found = states_.find(id);
-	return found == states_.end() ? nullptr : &found->second;
+	const auto found = stats_.find(id);
+	return found == stats_.end() ? nullptr : &found->second;
 }
 
-replica_selector::state* replica_selector::find_current(const replica& one)
+replica_selector::replica_stats* replica_selector::find_current(const replica& target)
 {
-	return replicas_.is_current(one) ? &states_[one.id] : nullptr;
+	return replicas_.is_current(target) ? &stats_[target.id] : nullptr;
 }
 } // namespace gingerdyke::routing
--- a/src/routing/replica_set.cpp
+++ b/src/routing/replica_set.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The replicas that discovery names.
+// The replicas found by service discovery.
 #include <algorithm>
 #include <gingerdyke/base/crypto.hpp>
 #include <gingerdyke/routing/replica_set.hpp>
@@ -7,9 +7,9 @@
 
 namespace gingerdyke::routing
 {
-std::uint64_t process_hash(const replica& one) noexcept
+std::uint64_t process_hash(const replica& process) noexcept
 {
-	return mix_hash(stable_hash(one.id.str()), static_cast<std::uint64_t>(one.incarnation.value()));
+	return mix_hash(stable_hash(process.id.str()), static_cast<std::uint64_t>(process.incarnation.value()));
 }
 
 const char* name_of(replica_change change) noexcept
@@ -46,9 +46,9 @@
 	{
 		return replica_change::leaving;
 	}
-	auto of_same_time = now;
-	of_same_time.cold_left = before.cold_left;
-	return of_same_time == before ? replica_change::cold_time : replica_change::changed;
+	auto with_old_cold_time = now;
+	with_old_cold_time.cold_left = before.cold_left;
+	return with_old_cold_time == before ? replica_change::cold_time : replica_change::changed;
 }
 } // namespace
 
@@ -60,73 +60,74 @@
 void replica_set::put(replica entry, instant now)
 {
 	suspected_.erase(entry.id);
-	forget_old_leaves(now);
-	const auto told = told_leaves_.find(entry.id);
-	if (told != told_leaves_.end() && told->second.incarnation == entry.incarnation)
+	drop_old_announcements(now);
+	const auto announced = leave_announcements_.find(entry.id);
+	if (announced != leave_announcements_.end() && announced->second.incarnation == entry.incarnation)
 	{
 		entry.leaving = true;
 	}
-	const auto known = find(entry.id);
-	if (known && *known == entry)
+	const auto current = find(entry.id);
+	if (current && *current == entry)
 	{
 		return;
 	}
-	const auto change = known ? change_from(*known, entry) : replica_change::added;
-	replace(known, std::move(entry), change);
+	const auto change = current ? change_from(*current, entry) : replica_change::added;
+	replace(current, std::move(entry), change);
 }
 
-void replica_set::replace(const replica_ptr& known, replica entry, replica_change change)
+void replica_set::replace(const replica_ptr& current, replica entry, replica_change change)
 {
-	if (known)
+	if (current)
 	{
-		unindex(known);
+		unindex(current);
 	}
-	const auto kept = std::make_shared<const replica>(std::move(entry));
-	index(kept);
-	changed_(*kept, change);
+	const auto stored = std::make_shared<const replica>(std::move(entry));
+	index(stored);
+	changed_(*stored, change);
 }
 
-bool replica_set::note_leaving(const replica& one, instant now)
+bool replica_set::note_leaving(const replica& target, instant now)
 {
-	const auto known = find(one.id);
-	const bool is_of_before = known && !known->is_same_process(one);
-	const auto told = told_leaves_.find(one.id);
-	const bool is_told = told != told_leaves_.end() && told->second.incarnation == one.incarnation;
-	if (is_of_before || is_told)
+	const auto current = find(target.id);
+	const bool is_previous_process = current && !current->is_same_process(target);
+	const auto announced = leave_announcements_.find(target.id);
+	const bool is_already_announced =
+		announced != leave_announcements_.end() && announced->second.incarnation == target.incarnation;
+	if (is_previous_process || is_already_announced)
 	{
 		return false;
 	}
-	told_leaves_[one.id] = {one.incarnation, now};
-	if (known && !known->leaving)
+	leave_announcements_[target.id] = {target.incarnation, now};
+	if (current && !current->leaving)
 	{
-		auto entry = *known;
+		auto entry = *current;
 		entry.leaving = true;
-		replace(known, std::move(entry), replica_change::leaving);
+		replace(current, std::move(entry), replica_change::leaving);
 	}
 	return true;
 }
 
-void replica_set::forget_old_leaves(instant now)
+void replica_set::drop_old_announcements(instant now)
 {
-	std::erase_if(told_leaves_, [&](const auto& entry)
-		{ return !by_id_.contains(entry.first) && now - entry.second.at > tuning_.leaving_memory; });
+	std::erase_if(leave_announcements_, [&](const auto& entry)
+		{ return !by_id_.contains(entry.first) && now - entry.second.at > tuning_.leaving_lifetime; });
 }
 
 void replica_set::remove(const replica_id& id, instant now)
 {
-	const auto known = find(id);
-	if (!known)
+	const auto current = find(id);
+	if (!current)
 	{
 		return;
 	}
-	if (sound_for_long(now) || known->leaving)
+	if (is_registry_stable(now) || current->leaving)
 	{
 		drop(id);
 		return;
 	}
-	if (suspected_.try_emplace(id, sound_before_ + tuning_.return_time).second)
+	if (suspected_.try_emplace(id, previous_uptime_ + tuning_.reregistration_time).second)
 	{
-		changed_(*known, replica_change::suspected);
+		changed_(*current, replica_change::suspected);
 	}
 }
 
@@ -153,23 +154,23 @@
 	{
 		put(std::move(entry), now);
 	}
-	known_ = true;
+	is_loaded_ = true;
 }
 
 void replica_set::note_unsound(instant now)
 {
-	sound_before_ = sound_time(now);
-	sound_ = false;
-	lost_at_ = now;
+	previous_uptime_ = registry_uptime(now);
+	is_registry_available_ = false;
+	registry_down_since_ = now;
 }
 
 void replica_set::note_sound(instant at)
 {
-	if (!sound_)
+	if (!is_registry_available_)
 	{
-		sound_ = true;
-		// An answer from before the loss does not tell that the registry is back.
-		sound_since_ = std::max(at, lost_at_);
+		is_registry_available_ = true;
+		// An answer from before the loss does not show that the registry is back.
+		registry_up_since_ = std::max(at, registry_down_since_);
 	}
 }
 
@@ -183,24 +184,24 @@
 
 std::optional<instant> replica_set::expire(instant now)
 {
-	if (!sound_)
+	if (!is_registry_available_)
 	{
 		return std::nullopt;
 	}
-	const auto passed = sound_time(now);
+	const auto uptime = registry_uptime(now);
 	std::optional<instant> next;
-	std::vector<replica_id> over;
+	std::vector<replica_id> expired;
 	for (const auto& [id, due] : suspected_)
 	{
-		if (due <= passed)
+		if (due <= uptime)
 		{
-			over.push_back(id);
+			expired.push_back(id);
 			continue;
 		}
-		const auto at = now + (due - passed);
+		const auto at = now + (due - uptime);
 		next = std::min(next.value_or(at), at);
 	}
-	for (const auto& id : over)
+	for (const auto& id : expired)
 	{
 		drop(id);
 	}
@@ -214,9 +215,9 @@
 		return false;
 	}
 	const auto& all = of(service);
-	const auto missing =
-		std::count_if(all.begin(), all.end(), [this](const auto& one) { return is_suspected(one->id); });
-	return static_cast<double>(missing) <= tuning_.avoided_share * static_cast<double>(all.size());
+	const auto missing = std::count_if(
+		all.begin(), all.end(), [this](const auto& candidate) { return is_suspected(candidate->id); });
+	return static_cast<double>(missing) <= tuning_.max_excluded_share * static_cast<double>(all.size());
 }
 
 const std::vector<replica_ptr>& replica_set::of(const service_id& service) const
@@ -230,9 +231,9 @@
 {
 	std::vector<replica_ptr> found;
 	found.reserve(by_id_.size());
-	for (const auto& [id, one] : by_id_)
+	for (const auto& [id, entry] : by_id_)
 	{
-		found.push_back(one);
+		found.push_back(entry);
 	}
 	return found;
 }
@@ -243,38 +244,39 @@
 	return found == by_id_.end() ? nullptr : found->second;
 }
 
-bool replica_set::takes_work(const replica& one) const
+bool replica_set::takes_work(const replica& target) const
 {
-	const auto known = find(one.id);
-	if (!known || known->leaving || !known->is_same_process(one))
+	const auto current = find(target.id);
+	if (!current || current->leaving || !current->is_same_process(target))
 	{
 		return false;
 	}
-	return !is_suspected(one.id) || !avoids_suspected(known->service);
+	return !is_suspected(target.id) || !avoids_suspected(current->service);
 }
 
-bool replica_set::is_current(const replica& one) const
+bool replica_set::is_current(const replica& target) const
 {
-	const auto known = find(one.id);
-	return known && known->is_same_process(one);
+	const auto current = find(target.id);
+	return current && current->is_same_process(target);
 }
 
-duration replica_set::sound_time(instant now) const
+duration replica_set::registry_uptime(instant now) const
 {
-	return sound_ ? sound_before_ + std::max(now - sound_since_, duration{0}) : sound_before_;
+	return is_registry_available_ ? previous_uptime_ + std::max(now - registry_up_since_, duration{0})
+								  : previous_uptime_;
 }
 
-bool replica_set::sound_for_long(instant now) const
+bool replica_set::is_registry_stable(instant now) const
 {
-	return sound_ && now - sound_since_ >= tuning_.return_time;
+	return is_registry_available_ && now - registry_up_since_ >= tuning_.reregistration_time;
 }
 
 void replica_set::drop(const replica_id& id)
 {
-	const auto known = find(id);
+	const auto current = find(id);
 	suspected_.erase(id);
-	unindex(known);
-	changed_(*known, replica_change::gone);
+	unindex(current);
+	changed_(*current, replica_change::gone);
 }
 
 void replica_set::index(const replica_ptr& entry)
--- a/src/routing/rest_periods.cpp
+++ b/src/routing/rest_periods.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Times for which replicas want nothing from this VM.
+// Back-off periods that replicas request.
 #include <algorithm>
 #include <gingerdyke/base/crypto.hpp>
 #include <gingerdyke/base/random.hpp>
@@ -7,75 +7,75 @@
 
 namespace gingerdyke::routing
 {
-const rest_periods::state* rest_periods::find(const replica& one) const
+const rest_periods::state* rest_periods::find(const replica& target) const
 {
-	const auto found = states_.find(one.id);
-	const bool is_known = found != states_.end() && found->second.incarnation == one.incarnation;
-	return is_known ? &found->second : nullptr;
+	const auto found = states_.find(target.id);
+	const bool is_current = found != states_.end() && found->second.incarnation == target.incarnation;
+	return is_current ? &found->second : nullptr;
 }
 
-void rest_periods::note_rest(const replica& from, duration span, const std::string& request, instant now)
+void rest_periods::note_rest(const replica& sender, duration length, const std::string& request, instant now)
 {
-	if (span <= duration{0})
+	if (length <= duration{0})
 	{
 		return;
 	}
-	const auto left = std::min(span, tuning_.longest);
-	const auto longest_spread = std::min(scaled(left, tuning_.spread), tuning_.longest_spread);
-	const auto until = now + left + scaled(longest_spread, unit_of(stable_hash(request)));
-	const auto* before = find(from);
-	const bool is_told = before != nullptr && before->until > now;
-	const auto kept = before == nullptr ? until : std::max(before->until, until);
-	states_.insert_or_assign(from.id, state{from.incarnation, from.service, kept, {}});
-	if (!is_told)
+	const auto capped = std::min(length, tuning_.max_length);
+	const auto spread = std::min(scaled(capped, tuning_.resume_spread), tuning_.max_resume_spread);
+	const auto until = now + capped + scaled(spread, unit_of(stable_hash(request)));
+	const auto* previous = find(sender);
+	const bool is_already_resting = previous != nullptr && previous->until > now;
+	const auto latest = previous == nullptr ? until : std::max(previous->until, until);
+	states_.insert_or_assign(sender.id, state{sender.incarnation, sender.service, latest, {}});
+	if (!is_already_resting)
 	{
-		began_(from, request, left);
+		began_(sender, request, capped);
 	}
 }
 
-void rest_periods::note_answer(const replica& from, instant sent_at)
+void rest_periods::note_answer(const replica& sender, instant sent_at)
 {
-	const auto* known = find(from);
-	if (known != nullptr && sent_at >= known->until)
+	const auto* current = find(sender);
+	if (current != nullptr && sent_at >= current->until)
 	{
-		states_.erase(from.id);
+		states_.erase(sender.id);
 	}
 }
 
-void rest_periods::note_sent(const replica& one, instant now)
+void rest_periods::note_sent(const replica& target, instant now)
 {
-	if (find(one) != nullptr && !is_resting(one, now))
+	if (find(target) != nullptr && !is_resting(target, now))
 	{
-		states_.at(one.id).first_sent = now;
+		states_.at(target.id).first_sent = now;
 	}
 }
 
-bool rest_periods::is_resting(const replica& one, instant now) const
+bool rest_periods::is_resting(const replica& target, instant now) const
 {
-	const auto* known = find(one);
-	return known != nullptr && now < known->until;
+	const auto* current = find(target);
+	return current != nullptr && now < current->until;
 }
 
-bool rest_periods::takes(const replica& one, instant now) const
+bool rest_periods::takes(const replica& target, instant now) const
 {
-	const auto* known = find(one);
-	if (known == nullptr)
+	const auto* current = find(target);
+	if (current == nullptr)
 	{
 		return true;
 	}
-	const bool waits_for_first = known->first_sent && now - *known->first_sent < tuning_.answer_time;
-	return now >= known->until && !waits_for_first;
+	const bool is_first_pending = current->first_sent && now - *current->first_sent < tuning_.answer_time;
+	return now >= current->until && !is_first_pending;
 }
 
 std::optional<duration> rest_periods::time_until_back(const service_id& service, instant now) const
 {
 	std::optional<duration> shortest;
-	for (const auto& [id, one] : states_)
+	for (const auto& [id, rest] : states_)
 	{
-		if (one.service == service && one.until > now)
+		if (rest.service == service && rest.until > now)
 		{
-			const auto left = one.until - now;
-			shortest = std::min(shortest.value_or(left), left);
+			const auto remaining = rest.until - now;
+			shortest = std::min(shortest.value_or(remaining), remaining);
 		}
 	}
 	return shortest;
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Slow start: which replicas are cold, and this VM's part of what they bear.
+// Slow start: which replicas are cold, and this VM's share of their limits.
 #include <algorithm>
 #include <cmath>
 #include <gingerdyke/base/crypto.hpp>
@@ -28,88 +28,89 @@
 {
 }
 
-void slow_start::note_told(const replica& one, instant now)
+void slow_start::note_told(const replica& target, instant now)
 {
-	if (one.cold_left)
+	if (target.cold_left)
 	{
-		extend(one, *one.cold_left, cold_reason::told, now);
+		extend(target, *target.cold_left, cold_reason::told, now);
 	}
 }
 
-void slow_start::note_unknown(const replica& one, cold_reason reason, instant now)
+void slow_start::note_unknown(const replica& target, cold_reason reason, instant now)
 {
-	const auto limit = limits_.find(one.service);
+	const auto limit = limits_.find(target.service);
 	if (limit != limits_.end())
 	{
-		extend(one, limit->second.start_time, reason, now);
+		extend(target, limit->second.start_time, reason, now);
 	}
 }
 
-void slow_start::extend(const replica& one, duration left, cold_reason reason, instant now)
+void slow_start::extend(const replica& target, duration remaining, cold_reason reason, instant now)
 {
-	const auto until = now + left;
-	auto& known =
-		states_.try_emplace(one.id, state{one.service, {}, fleet_rank{stable_hash(one.id.str())}, {}})
+	const auto until = now + remaining;
+	auto& current =
+		states_
+			.try_emplace(target.id, state{target.service, {}, fleet_rank{stable_hash(target.id.str())}, {}})
 			.first->second;
-	const bool was_cold = known.cold_until > now;
-	known.cold_until = std::max(known.cold_until, until);
-	if (!was_cold && find_cold(one, now) != nullptr)
+	const bool was_cold = current.cold_until > now;
+	current.cold_until = std::max(current.cold_until, until);
+	if (!was_cold && find_cold(target, now) != nullptr)
 	{
-		began_(one, reason, left);
+		began_(target, reason, remaining);
 	}
-	if (known.cold_until <= now)
+	if (current.cold_until <= now)
 	{
-		states_.erase(one.id);
+		states_.erase(target.id);
 	}
 }
 
-const slow_start::state* slow_start::find_cold(const replica& one, instant now) const
+const slow_start::state* slow_start::find_cold(const replica& target, instant now) const
 {
-	const auto found = states_.find(one.id);
+	const auto found = states_.find(target.id);
 	const bool is_cold =
-		found != states_.end() && found->second.cold_until > now && limits_.contains(one.service);
+		found != states_.end() && found->second.cold_until > now && limits_.contains(target.service);
 	return is_cold ? &found->second : nullptr;
 }
 
-bool slow_start::is_cold(const replica& one, instant now) const
+bool slow_start::is_cold(const replica& target, instant now) const
 {
-	return find_cold(one, now) != nullptr;
+	return find_cold(target, now) != nullptr;
 }
 
-bool slow_start::takes(const replica& one, instant now) const
+bool slow_start::takes(const replica& target, instant now) const
 {
-	const auto* cold = find_cold(one, now);
+	const auto* cold = find_cold(target, now);
 	if (cold == nullptr)
 	{
 		return true;
 	}
-	const auto lately = std::count_if(cold->sent.begin(), cold->sent.end(),
+	const auto recent = std::count_if(cold->sent.begin(), cold->sent.end(),
 		[&](instant sent_at) { return now - sent_at <= tuning_.window; });
-	return static_cast<std::size_t>(lately) < share_of(*cold, now);
+	return static_cast<std::size_t>(recent) < share_of(*cold, now);
 }
 
-bool slow_start::has_list(instant now) const
+bool slow_start::is_list_usable(instant now) const
 {
 	return vms_.is_fresh(now) && vms_.is_known_to_others(now);
 }
 
-std::size_t slow_start::share_of(const state& of, instant now) const
+std::size_t slow_start::share_of(const state& target, instant now) const
 {
-	if (!has_list(now))
+	if (!is_list_usable(now))
 	{
 		return 0;
 	}
-	const auto limit = static_cast<std::size_t>(std::floor(limits_.at(of.service).requests_per_s));
+	const auto limit = static_cast<std::size_t>(std::floor(limits_.at(target.service).requests_per_s));
 	if (vms_.size() <= limit)
 	{
 		return limit / vms_.size();
 	}
-	return of.place.in(vms_) < limit ? 1 : 0;
+	return target.rank.in(vms_) < limit ? 1 : 0;
 }
 
-void slow_start::note_sent(const replica& one, instant now)
+void slow_start::note_sent(const replica& target, instant now)
 {
-	const auto found = states_.find(one.id);
+	const auto found = states_.find(target.id);
 	if (found == states_.end())
 	{
 		return;
@@ -122,9 +123,9 @@
 	sent.push_back(now);
 }
 
-void slow_start::note_left(const replica& one, instant sent_at, instant now)
+void slow_start::note_left(const replica& target, instant sent_at, instant now)
 {
-	const auto found = states_.find(one.id);
+	const auto found = states_.find(target.id);
 	if (found == states_.end())
 	{
 		return;
@@ -141,12 +142,12 @@
 std::optional<duration> slow_start::time_until_warm(const service_id& service, instant now) const
 {
 	std::optional<duration> shortest;
-	for (const auto& [id, one] : states_)
+	for (const auto& [id, state] : states_)
 	{
-		if (one.service == service && one.cold_until > now && limits_.contains(service))
+		if (state.service == service && state.cold_until > now && limits_.contains(service))
 		{
-			const auto left = one.cold_until - now;
-			shortest = std::min(shortest.value_or(left), left);
+			const auto remaining = state.cold_until - now;
+			shortest = std::min(shortest.value_or(remaining), remaining);
 		}
 	}
 	return shortest;
--- a/tests/routing/fleet_list.cpp
+++ b/tests/routing/fleet_list.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The order of the VMs for a replica, as each of them works it out.
+// The order of the VMs for a replica, as each VM computes it.
 #include "../support/fleet.hpp"
 
 #include <algorithm>
@@ -21,8 +21,8 @@
 }
 } // namespace
 
-TEST_CASE(
-	"VMs with the same list have different ranks, and failure domains take turns", "[routing][fleet_list]")
+TEST_CASE("VMs with the same list have distinct ranks, and the order alternates between failure domains",
+	"[routing][fleet_list]")
 {
 	constexpr std::size_t vms = 31;
 	constexpr std::size_t domains = 3;
@@ -45,14 +45,14 @@
 	}
 }
 
-TEST_CASE("a VM added to the list brings no other one forward", "[routing][fleet_list]")
+TEST_CASE("adding a VM to the list lowers the rank of no other VM", "[routing][fleet_list]")
 {
-	constexpr std::size_t most = 24;
+	constexpr std::size_t max_count = 24;
 	for (std::uint64_t replica = 1; replica <= 20; ++replica)
 	{
-		for (std::size_t vm = 0; vm < most; ++vm)
+		for (std::size_t vm = 0; vm < max_count; ++vm)
 		{
-			for (auto count = vm + 1; count < most; ++count)
+			for (auto count = vm + 1; count < max_count; ++count)
 			{
 				CHECK(rank_of(vm, vms_up_to(count), replica) <= rank_of(vm, vms_up_to(count + 1), replica));
 			}
--- a/tests/routing/limited_fleet.cpp
+++ b/tests/routing/limited_fleet.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Many VMs in virtual time before one replica that names a limit: the limit holds over all of them, what the
-// replica takes is used, and it gets all again after its need.
+// Many VMs in virtual time that send to one replica with a limit: all VMs together keep to the limit, use
+// what the replica accepts, and send without a limit again after its overload.
 #include "../support/fleet.hpp"
 #include "../support/replicas.hpp"
 
@@ -24,25 +24,25 @@
 {
 constexpr milliseconds step{10};
 
-/// The platform's promise: in some four seconds at most this many, from three seconds after the first answer
-/// that names the limit.
+/// The platform's requirement: in any window of four seconds at most this many requests, beginning three
+/// seconds after the first response with the limit.
 constexpr seconds window{4};
-constexpr seconds grace{3};
-double most_in_window(double limit)
+constexpr seconds grace_period{3};
+double max_in_window(double limit)
 {
-	constexpr double over = 1.5;
+	constexpr double tolerance = 1.5;
 	constexpr double slack = 5;
-	return over * limit * static_cast<double>(window.count()) + slack;
+	return tolerance * limit * static_cast<double>(window.count()) + slack;
 }
 
 struct limited_vm
 {
 	fleet_list vms;
 	announced_limits limits{vms, [](const replica&, limit_change, const limit_statement&) {}};
-	bool is_told{};
+	bool is_informed{};
 };
 
-struct pending_answer
+struct pending_response
 {
 	std::size_t vm{};
 	instant sent_at;
@@ -50,7 +50,7 @@
 	std::optional<double> limit;
 };
 
-/// One deployment. Each VM has callers at a rate, and sends them to the replica where it may.
+/// One deployment. Each VM gets client requests at a given rate and sends them to the replica if it may.
 class limited_fleet
 {
   public:
@@ -64,12 +64,12 @@
 		}
 	}
 
-	/// Plays a span with the limit that the replica names then.
-	void play(duration span, std::optional<double> limit)
+	/// Simulates a time span in which the replica announces the given limit.
+	void run(duration span, std::optional<double> limit)
 	{
 		for (const auto until = now_ + span; now_ < until; now_ += step)
 		{
-			answer();
+			deliver_responses();
 			for (std::size_t i = 0; i < vms_.size(); ++i)
 			{
 				send(i, limit);
@@ -77,49 +77,50 @@
 		}
 	}
 
-	/// Lets VMs tell others of their failure domain what they heard, as in a report and its summary.
-	void tell_each_other()
+	/// Passes what each VM received to the other VMs of its failure domain, as reports and their summaries
+	/// do.
+	void exchange_updates()
 	{
 		for (std::size_t from = 0; from < vms_.size(); ++from)
 		{
-			for (const auto& heard : vms_[from]->limits.own_news(now_))
+			for (const auto& update : vms_[from]->limits.own_news(now_))
 			{
 				for (auto to = from % domains; to < vms_.size(); to += domains)
 				{
-					vms_[to]->limits.note_elsewhere(one_, heard, now_);
+					vms_[to]->limits.note_elsewhere(target_, update, now_);
 				}
 			}
 		}
 	}
 
-	[[nodiscard]] std::size_t most_from_told(instant since) const
+	[[nodiscard]] std::size_t max_from_informed(instant since) const
 	{
-		std::deque<instant> lately;
-		std::size_t most = 0;
-		for (const auto sent_at : from_told_)
+		std::deque<instant> recent;
+		std::size_t max_count = 0;
+		for (const auto sent_at : sent_by_informed_)
 		{
 			if (sent_at < since)
 			{
 				continue;
 			}
-			lately.push_back(sent_at);
-			while (sent_at - lately.front() > window)
+			recent.push_back(sent_at);
+			while (sent_at - recent.front() > window)
 			{
-				lately.pop_front();
+				recent.pop_front();
 			}
-			most = std::max(most, lately.size());
+			max_count = std::max(max_count, recent.size());
 		}
-		return most;
+		return max_count;
 	}
 
-	[[nodiscard]] std::size_t arrived() const noexcept { return arrived_; }
+	[[nodiscard]] std::size_t request_count() const noexcept { return request_count_; }
 	[[nodiscard]] instant now() const noexcept { return now_; }
 
-	/// How many VMs still keep a limit.
-	[[nodiscard]] std::size_t limited() const
+	/// Number of VMs that still apply a limit.
+	[[nodiscard]] std::size_t limited_count() const
 	{
 		return static_cast<std::size_t>(std::count_if(
-			vms_.begin(), vms_.end(), [&](const auto& vm) { return vm->limits.is_limited(one_); }));
+			vms_.begin(), vms_.end(), [&](const auto& vm) { return vm->limits.is_limited(target_); }));
 	}
 
   private:
@@ -128,88 +129,90 @@
 	void send(std::size_t vm, std::optional<double> limit)
 	{
 		const double per_step = demand_ * std::chrono::duration<double>{step}.count();
-		auto& of = *vms_[vm];
-		if (random_unit(random_) >= per_step || !of.limits.takes(one_, now_))
+		auto& sender = *vms_[vm];
+		if (random_unit(random_) >= per_step || !sender.limits.takes(target_, now_))
 		{
 			return;
 		}
-		of.limits.note_sent(one_, now_);
-		++arrived_;
-		if (of.is_told)
+		sender.limits.note_sent(target_, now_);
+		++request_count_;
+		if (sender.is_informed)
 		{
-			from_told_.push_back(now_);
+			sent_by_informed_.push_back(now_);
 		}
 		const milliseconds took{10 + random_below(random_, 400)};
 		pending_.push_back({vm, now_, now_ + took, limit});
 	}
 
-	void answer()
+	void deliver_responses()
 	{
 		std::erase_if(pending_,
-			[&](const pending_answer& one)
+			[&](const pending_response& response)
 			{
-				if (one.due > now_)
+				if (response.due > now_)
 				{
 					return false;
 				}
-				auto& of = *vms_[one.vm];
-				of.limits.note_answer(one_, {one.limit, one.sent_at, "q"}, now_);
-				of.is_told = of.is_told || one.limit;
+				auto& sender = *vms_[response.vm];
+				sender.limits.note_answer(target_, {response.limit, response.sent_at, "q"}, now_);
+				sender.is_informed = sender.is_informed || response.limit;
 				return true;
 			});
 	}
 
 	random_source random_;
 	double demand_;
-	replica one_ = make_replica("r1");
+	replica target_ = make_replica("r1");
 	std::vector<std::unique_ptr<limited_vm>> vms_;
-	std::vector<pending_answer> pending_;
-	std::vector<instant> from_told_;
-	std::size_t arrived_{};
+	std::vector<pending_response> pending_;
+	std::vector<instant> sent_by_informed_;
+	std::size_t request_count_{};
 	instant now_ = at(seconds{0});
 };
 } // namespace
 
-TEST_CASE("all VMs together keep the limit that a replica names", "[routing][limit]")
+TEST_CASE("all VMs together keep to the limit that a replica announces", "[routing][limit]")
 {
 	for (const std::size_t vms : {1U, 7U, 65U, 340U})
 	{
 		for (const double limit : {0.0, 0.2, 1.0, 1.5, 4.0, 20.0, 120.0})
 		{
-			// A replica gets some times what it asks for; each VM a few requests a second, or few in all.
+			// Each VM offers from a few requests in the whole run to several per second, so the replica may
+			// be offered many times its limit.
 			for (const double demand : {0.05, 1.0, 10.0})
 			{
 				CAPTURE(vms, limit, demand);
 				limited_fleet fleet{7, vms, demand};
-				fleet.play(seconds{2}, std::nullopt);
-				const auto named_at = fleet.now();
-				fleet.play(seconds{40}, limit);
-				CHECK(static_cast<double>(fleet.most_from_told(named_at + grace)) <= most_in_window(limit));
+				fleet.run(seconds{2}, std::nullopt);
+				const auto announced_at = fleet.now();
+				fleet.run(seconds{40}, limit);
+				CHECK(static_cast<double>(fleet.max_from_informed(announced_at + grace_period)) <=
+					  max_in_window(limit));
 			}
 		}
 	}
 }
 
-TEST_CASE("what a replica with a limit takes is used", "[routing][limit]")
+TEST_CASE("VMs use most of the limit that a replica announces", "[routing][limit]")
 {
-	constexpr double used = 0.75;
+	constexpr double min_used_share = 0.75;
 	for (const std::size_t vms : {1U, 7U, 65U, 340U})
 	{
 		for (const double limit : {0.5, 1.5, 4.0, 20.0})
 		{
 			CAPTURE(vms, limit);
 			limited_fleet fleet{11, vms, 20};
-			fleet.play(seconds{10}, limit);
-			const auto before = fleet.arrived();
+			fleet.run(seconds{10}, limit);
+			const auto before = fleet.request_count();
 			constexpr seconds span{60};
-			fleet.play(span, limit);
-			const auto arrived = static_cast<double>(fleet.arrived() - before);
-			CHECK(arrived >= used * limit * static_cast<double>(span.count()) - 1);
+			fleet.run(span, limit);
+			const auto sent = static_cast<double>(fleet.request_count() - before);
+			CHECK(sent >= min_used_share * limit * static_cast<double>(span.count()) - 1);
 		}
 	}
 }
 
-TEST_CASE("after a replica's need its VMs send freely again, told by each other", "[routing][limit]")
+TEST_CASE("after a replica's overload VMs drop the limit as they learn from each other", "[routing][limit]")
 {
 	for (const std::size_t vms : {7U, 65U, 340U})
 	{
@@ -217,24 +220,23 @@
 		limited_fleet fleet{13, vms, 2};
 		for (int i = 0; i < 20; ++i)
 		{
-			fleet.play(seconds{1}, 1.5);
-			fleet.tell_each_other();
+			fleet.run(seconds{1}, 1.5);
+			fleet.exchange_updates();
 		}
-		REQUIRE(fleet.limited() == vms);
+		REQUIRE(fleet.limited_count() == vms);
 		for (int i = 0; i < 10; ++i)
 		{
-			fleet.play(seconds{1}, std::nullopt);
-			fleet.tell_each_other();
+			fleet.run(seconds{1}, std::nullopt);
+			fleet.exchange_updates();
 		}
-		CHECK(fleet.limited() == 0);
+		CHECK(fleet.limited_count() == 0);
 	}
 }
 
-TEST_CASE(
-	"after a replica's need its VMs send freely again, also where none hears of others", "[routing][limit]")
+TEST_CASE("after a replica's overload VMs drop the limit without reports from other VMs", "[routing][limit]")
 {
 	limited_fleet fleet{17, 7, 2};
-	fleet.play(seconds{20}, 1.5);
-	fleet.play(seconds{15}, std::nullopt);
-	CHECK(fleet.limited() == 0);
+	fleet.run(seconds{20}, 1.5);
+	fleet.run(seconds{15}, std::nullopt);
+	CHECK(fleet.limited_count() == 0);
 }
--- a/tests/routing/missing_replica.cpp
+++ b/tests/routing/missing_replica.cpp
@@ -1,14 +1,11 @@
 // SPDX-License-Identifier: MIT
-// Replicas whose entries are missing.
+// Replicas whose registry entries are missing.
 //
-// Symptom: a request reached a replica 12.2 s after the registry had acknowledged that it was gone; 2 s are
-// allowed. Sequence: the registry turned one VM away every 2.2 s, while all others had it; a replica removed
-// its entry without having said that it drains; 0.8 s later the VM read so through another VM. Cause: an
-// entry that is missing just after a loss of the registry is only suspected, and kept until the registry has
-// answered for 2.2 s without a break; each call of this VM that failed began that time anew, and until its
-// end a suspected replica was chosen like any other.
-// Settled by two lines of the VM, "replica" with change "suspected" at 36.792 s and "gone" at 48.788 s: 2.2 s
-// after its last "registry regained", at 46.588 s.
+// Guards against requests to a replica that is long gone: one was sent 12.2 s after the registry had
+// acknowledged the removal of the entry; 2 s are allowed. An entry that goes missing just after a loss of
+// the registry only makes its replica suspected, until the registry has answered for 2.2 s. Each failed
+// registry call of the VM restarted this time, the registry refused the VM every 2.2 s, and meanwhile the
+// suspected replica was chosen like any other.
 #include "../support/replicas.hpp"
 
 #include <catch2/catch.hpp>
@@ -24,10 +21,10 @@
 
 namespace
 {
-/// Replicas "r0", "r1", ... of one service, in a registry that has been sound for long.
-struct replica_world
+/// Replicas "r0", "r1", ... of one service, in a registry that has been available for long.
+struct replica_fixture
 {
-	explicit replica_world(int count)
+	explicit replica_fixture(int count)
 	{
 		set.note_sound(at(milliseconds{-60000}));
 		std::vector<replica> entries;
@@ -39,7 +36,7 @@
 		set.replace_all(std::move(entries), at(milliseconds{-60000}));
 	}
 
-	/// The registry can't be read from one moment to another.
+	/// The registry is unavailable from one moment to another.
 	void outage(milliseconds from, milliseconds to)
 	{
 		set.note_unsound(at(from));
@@ -47,21 +44,21 @@
 		set.expire(at(to));
 	}
 
-	[[nodiscard]] bool knows(const char* id) const { return set.find(replica_id{id}) != nullptr; }
+	[[nodiscard]] bool contains(const char* id) const { return set.find(replica_id{id}) != nullptr; }
 
-	/// The replicas that many choices fall on.
+	/// Returns the replicas that are chosen in many choices.
 	[[nodiscard]] std::set<std::string> chosen(bool is_engine) const
 	{
-		selection what;
-		what.service = service_id{"s"};
-		what.is_engine = is_engine;
-		what.usable = [](const replica&) { return true; };
-		std::set<std::string> found;
+		selection request;
+		request.service = service_id{"s"};
+		request.is_engine = is_engine;
+		request.usable = [](const replica&) { return true; };
+		std::set<std::string> chosen_ids;
 		for (int i = 0; i < 200; ++i)
 		{
-			found.insert(selector.choose(what, at(milliseconds{0}))->id.str());
+			chosen_ids.insert(selector.choose(request, at(milliseconds{0}))->id.str());
 		}
-		return found;
+		return chosen_ids;
 	}
 
 	replica_set set{[](const replica&, replica_change) {}};
@@ -70,40 +67,41 @@
 };
 } // namespace
 
-TEST_CASE("a missing entry is not kept longer because the registry is lost again and again", "[replicas]")
+TEST_CASE(
+	"a replica with a missing entry is not kept longer when the registry is lost repeatedly", "[replicas]")
 {
-	replica_world world{2};
-	world.outage(milliseconds{0}, milliseconds{100});
-	world.set.remove(replica_id{"r0"}, at(milliseconds{100}));
+	replica_fixture fixture{2};
+	fixture.outage(milliseconds{0}, milliseconds{100});
+	fixture.set.remove(replica_id{"r0"}, at(milliseconds{100}));
 	for (int cycle = 1; cycle <= 10; ++cycle)
 	{
 		const milliseconds lost{2100 * cycle};
-		world.set.expire(at(lost));
-		world.outage(lost, lost + milliseconds{100});
+		fixture.set.expire(at(lost));
+		fixture.outage(lost, lost + milliseconds{100});
 	}
-	// By then the registry has answered for 20 s.
-	CHECK_FALSE(world.knows("r0"));
-	CHECK(world.knows("r1"));
+	// By now the registry has been available for 20 s.
+	CHECK_FALSE(fixture.contains("r0"));
+	CHECK(fixture.contains("r1"));
 }
 
-TEST_CASE("a replica whose entry is missing gets no work while others have theirs", "[replicas]")
+TEST_CASE("a replica whose entry is missing gets no requests while enough others have theirs", "[replicas]")
 {
 	const bool is_engine = GENERATE(true, false);
-	replica_world world{5};
-	world.outage(milliseconds{-200}, milliseconds{-100});
-	world.set.remove(replica_id{"r2"}, at(milliseconds{-100}));
-	REQUIRE(world.knows("r2"));
-	CHECK(world.chosen(is_engine) == std::set<std::string>{"r0", "r1", "r3", "r4"});
+	replica_fixture fixture{5};
+	fixture.outage(milliseconds{-200}, milliseconds{-100});
+	fixture.set.remove(replica_id{"r2"}, at(milliseconds{-100}));
+	REQUIRE(fixture.contains("r2"));
+	CHECK(fixture.chosen(is_engine) == std::set<std::string>{"r0", "r1", "r3", "r4"});
 }
 
-TEST_CASE("where most entries are missing after an outage all replicas stay in use", "[replicas]")
+TEST_CASE("if most entries are missing after an outage, all replicas stay in use", "[replicas]")
 {
 	const bool is_engine = GENERATE(true, false);
-	replica_world world{5};
-	world.outage(milliseconds{-200}, milliseconds{-100});
+	replica_fixture fixture{5};
+	fixture.outage(milliseconds{-200}, milliseconds{-100});
 	for (const auto* id : {"r1", "r2", "r3"})
 	{
-		world.set.remove(replica_id{id}, at(milliseconds{-100}));
+		fixture.set.remove(replica_id{id}, at(milliseconds{-100}));
 	}
-	CHECK(world.chosen(is_engine).size() == 5);
+	CHECK(fixture.chosen(is_engine).size() == 5);
 }
--- a/tests/routing/restarted_replica.cpp
+++ b/tests/routing/restarted_replica.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// A replica that starts again under its id is another process: it holds nothing of before, and what was
-// known of the one before is not its own.
+// A replica that restarts under the same id is a new process: it has none of the previous state, and what
+// was recorded for the previous process does not apply to it.
 #include "../support/replicas.hpp"
 
 #include <catch2/catch.hpp>
@@ -17,36 +17,36 @@
 
 namespace
 {
-replica started(const std::string& id, std::int64_t born)
+replica make_process(const std::string& id, std::int64_t started_at)
 {
 	auto made = make_replica(id);
-	made.incarnation = replica_incarnation{born};
+	made.incarnation = replica_incarnation{started_at};
 	return made;
 }
 
-/// Two replicas, the first of which may start again.
-struct restart_world
+/// Two replicas, the first of which can be restarted.
+struct restart_fixture
 {
-	restart_world()
+	restart_fixture()
 	{
 		set.note_sound(at(milliseconds{-60000}));
-		set.replace_all({started("r0", 1000), started("r1", 1000)}, at(milliseconds{-60000}));
+		set.replace_all({make_process("r0", 1000), make_process("r1", 1000)}, at(milliseconds{-60000}));
 		changes.clear();
 	}
 
-	void restart() { set.put(started("r0", 2000), at(milliseconds{0})); }
+	void restart() { set.put(make_process("r0", 2000), at(milliseconds{0})); }
 
 	[[nodiscard]] std::set<std::string> chosen() const
 	{
-		selection what;
-		what.service = service_id{"s"};
-		what.usable = [](const replica&) { return true; };
-		std::set<std::string> found;
+		selection request;
+		request.service = service_id{"s"};
+		request.usable = [](const replica&) { return true; };
+		std::set<std::string> chosen_ids;
 		for (int i = 0; i < 50; ++i)
 		{
-			found.insert(selector.choose(what, at(milliseconds{100}))->id.str());
+			chosen_ids.insert(selector.choose(request, at(milliseconds{100}))->id.str());
 		}
-		return found;
+		return chosen_ids;
 	}
 
 	std::vector<replica_change> changes;
@@ -63,105 +63,105 @@
 };
 } // namespace
 
-TEST_CASE("a replica that starts again under its id is told as such, once", "[routing][restart]")
+TEST_CASE("a restart of a replica under the same id is reported once", "[routing][restart]")
 {
-	restart_world world;
-	world.set.put(started("r0", 1000), at(milliseconds{0}));
-	CHECK(world.changes.empty());
-	world.restart();
-	world.restart();
-	REQUIRE(world.changes.size() == 1);
-	CHECK(world.changes.front() == replica_change::restarted);
-	CHECK(world.set.of(service_id{"s"}).size() == 2);
-	CHECK(world.set.find(replica_id{"r0"})->incarnation == replica_incarnation{2000});
+	restart_fixture fixture;
+	fixture.set.put(make_process("r0", 1000), at(milliseconds{0}));
+	CHECK(fixture.changes.empty());
+	fixture.restart();
+	fixture.restart();
+	REQUIRE(fixture.changes.size() == 1);
+	CHECK(fixture.changes.front() == replica_change::restarted);
+	CHECK(fixture.set.of(service_id{"s"}).size() == 2);
+	CHECK(fixture.set.find(replica_id{"r0"})->incarnation == replica_incarnation{2000});
 }
 
-TEST_CASE("nothing is sent to a process that has started again since it was chosen", "[routing][restart]")
+TEST_CASE("no requests are sent to a process that has restarted since it was chosen", "[routing][restart]")
 {
-	restart_world world;
-	const auto before = *world.set.find(replica_id{"r0"});
-	CHECK(world.set.takes_work(before));
-	world.restart();
-	CHECK_FALSE(world.set.takes_work(before));
-	CHECK(world.set.takes_work(*world.set.find(replica_id{"r0"})));
+	restart_fixture fixture;
+	const auto before = *fixture.set.find(replica_id{"r0"});
+	CHECK(fixture.set.takes_work(before));
+	fixture.restart();
+	CHECK_FALSE(fixture.set.takes_work(before));
+	CHECK(fixture.set.takes_work(*fixture.set.find(replica_id{"r0"})));
 }
 
-TEST_CASE("an ejection ends with the process that it was for", "[routing][restart]")
+TEST_CASE("an ejection ends with the process that was ejected", "[routing][restart]")
 {
-	restart_world world;
-	const auto before = *world.set.find(replica_id{"r0"});
-	world.selector.note_result(before, replica_result::not_connected, duration{}, at(milliseconds{0}));
-	CHECK(world.chosen() == std::set<std::string>{"r1"});
-	world.restart();
-	CHECK(world.chosen().contains("r0"));
-	// What is heard late of the process before says nothing of this one.
-	world.selector.note_result(before, replica_result::not_connected, duration{}, at(milliseconds{50}));
-	CHECK(world.chosen().contains("r0"));
+	restart_fixture fixture;
+	const auto before = *fixture.set.find(replica_id{"r0"});
+	fixture.selector.note_result(before, replica_result::not_connected, duration{}, at(milliseconds{0}));
+	CHECK(fixture.chosen() == std::set<std::string>{"r1"});
+	fixture.restart();
+	CHECK(fixture.chosen().contains("r0"));
+	// A late result of the previous process does not apply to this one.
+	fixture.selector.note_result(before, replica_result::not_connected, duration{}, at(milliseconds{50}));
+	CHECK(fixture.chosen().contains("r0"));
 }
 
-TEST_CASE("expected work ends with the process that it was sent to", "[routing][restart]")
+TEST_CASE("outstanding work ends with the process that it was sent to", "[routing][restart]")
 {
-	restart_world world;
-	const auto before = *world.set.find(replica_id{"r0"});
-	world.selector.note_sent(before, 5000);
-	world.selector.note_elsewhere({{replica_id{"r0"}, 3000}}, at(milliseconds{0}));
-	CHECK(world.selector.work_at(before, at(milliseconds{0})) == 8000);
-	world.restart();
-	const auto after = *world.set.find(replica_id{"r0"});
-	CHECK(world.selector.work_at(after, at(milliseconds{0})) == 0);
-	world.selector.note_sent(after, 700);
-	// The requests sent before end only now.
-	world.selector.note_part_done(before, 4000);
-	world.selector.note_over(before, 1000);
-	CHECK(world.selector.work_at(after, at(milliseconds{0})) == 700);
-	world.selector.note_over(after, 700);
-	CHECK(world.selector.open_work().empty());
+	restart_fixture fixture;
+	const auto before = *fixture.set.find(replica_id{"r0"});
+	fixture.selector.note_sent(before, 5000);
+	fixture.selector.note_elsewhere({{replica_id{"r0"}, 3000}}, at(milliseconds{0}));
+	CHECK(fixture.selector.work_at(before, at(milliseconds{0})) == 8000);
+	fixture.restart();
+	const auto after = *fixture.set.find(replica_id{"r0"});
+	CHECK(fixture.selector.work_at(after, at(milliseconds{0})) == 0);
+	fixture.selector.note_sent(after, 700);
+	// The requests to the previous process end only now.
+	fixture.selector.note_part_done(before, 4000);
+	fixture.selector.note_over(before, 1000);
+	CHECK(fixture.selector.work_at(after, at(milliseconds{0})) == 700);
+	fixture.selector.note_over(after, 700);
+	CHECK(fixture.selector.open_work().empty());
 }
 
-TEST_CASE("an entry that lapsed and came back is the same process, with its ejection", "[routing][restart]")
+TEST_CASE("an entry that expired and came back is the same process and stays ejected", "[routing][restart]")
 {
-	restart_world world;
-	const auto one = *world.set.find(replica_id{"r0"});
-	world.selector.note_result(one, replica_result::not_connected, duration{}, at(milliseconds{0}));
-	world.set.note_unsound(at(milliseconds{10}));
-	world.set.remove(replica_id{"r0"}, at(milliseconds{20}));
-	world.set.put(one, at(milliseconds{30}));
-	CHECK(world.chosen() == std::set<std::string>{"r1"});
+	restart_fixture fixture;
+	const auto one = *fixture.set.find(replica_id{"r0"});
+	fixture.selector.note_result(one, replica_result::not_connected, duration{}, at(milliseconds{0}));
+	fixture.set.note_unsound(at(milliseconds{10}));
+	fixture.set.remove(replica_id{"r0"}, at(milliseconds{20}));
+	fixture.set.put(one, at(milliseconds{30}));
+	CHECK(fixture.chosen() == std::set<std::string>{"r1"});
 }
 
-TEST_CASE("connections to the process before are not used for the one that started again", "[pool][restart]")
+TEST_CASE("connections to the previous process are not used for the restarted one", "[pool][restart]")
 {
 	proxy::asio::io_context context{1};
 	proxy::upstream_pool pool{context, "Request-Id"};
-	const auto before = std::make_shared<const replica>(started("r0", 1000));
-	const auto after = std::make_shared<const replica>(started("r0", 2000));
-	const auto old_link = pool.take(before, true, at(milliseconds{0}));
+	const auto before = std::make_shared<const replica>(make_process("r0", 1000));
+	const auto after = std::make_shared<const replica>(make_process("r0", 2000));
+	const auto old_connection = pool.take(before, true, at(milliseconds{0}));
 	CHECK(pool.open(replica_id{"r0"}) == 1);
-	const auto new_link = pool.take(after, true, at(milliseconds{10}));
-	CHECK(new_link->to()->incarnation == after->incarnation);
+	const auto new_connection = pool.take(after, true, at(milliseconds{10}));
+	CHECK(new_connection->to()->incarnation == after->incarnation);
 	CHECK(pool.open(replica_id{"r0"}) == 1);
-	pool.give_back(old_link, at(milliseconds{20}));
+	pool.give_back(old_connection, at(milliseconds{20}));
 	CHECK(pool.open(replica_id{"r0"}) == 1);
 	CHECK(pool.idle(replica_id{"r0"}) == 0);
 }
 
-TEST_CASE("a heartbeat that only tells another time for which a replica is cold is news of its own kind",
+TEST_CASE("a heartbeat that only updates the remaining warm-up time is reported as its own kind of change",
 	"[routing][slow_start]")
 {
-	restart_world world;
-	auto cold = started("r0", 1000);
+	restart_fixture fixture;
+	auto cold = make_process("r0", 1000);
 	cold.cold_left = milliseconds{1500};
-	world.set.put(cold, at(milliseconds{0}));
+	fixture.set.put(cold, at(milliseconds{0}));
 	cold.cold_left = milliseconds{300};
-	world.set.put(cold, at(milliseconds{1200}));
-	CHECK(world.changes == std::vector{replica_change::cold_time, replica_change::cold_time});
-	CHECK(world.set.find(replica_id{"r0"})->cold_left == milliseconds{300});
+	fixture.set.put(cold, at(milliseconds{1200}));
+	CHECK(fixture.changes == std::vector{replica_change::cold_time, replica_change::cold_time});
+	CHECK(fixture.set.find(replica_id{"r0"})->cold_left == milliseconds{300});
 	cold.cold_left = milliseconds{0};
 	cold.slots = 7;
-	world.set.put(cold, at(milliseconds{2400}));
+	fixture.set.put(cold, at(milliseconds{2400}));
 	cold.leaving = true;
 	cold.cold_left = milliseconds{900};
-	world.set.put(cold, at(milliseconds{3600}));
-	CHECK(world.changes.at(2) == replica_change::changed);
-	CHECK(world.changes.at(3) == replica_change::leaving);
+	fixture.set.put(cold, at(milliseconds{3600}));
+	CHECK(fixture.changes.at(2) == replica_change::changed);
+	CHECK(fixture.changes.at(3) == replica_change::leaving);
 }
--- a/tests/routing/routing.cpp
+++ b/tests/routing/routing.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Routes, replicas as discovery tells them, and the budget of further attempts.
+// Routes, replicas found by service discovery, and the budget of additional attempts.
 #include "../support/replicas.hpp"
 
 #include <catch2/catch.hpp>
@@ -15,10 +15,10 @@
 
 namespace
 {
-/// A set with one replica, in a registry that has been sound for long.
-struct settled_set
+/// A set with one replica, in a registry that has been available for long.
+struct replica_fixture
 {
-	settled_set()
+	replica_fixture()
 	{
 		set.note_sound(at(milliseconds{-60000}));
 		set.replace_all({make_replica("a")}, at(milliseconds{-60000}));
@@ -30,26 +30,26 @@
 };
 } // namespace
 
-TEST_CASE("the longest prefix of the host's routes counts", "[routing]")
+TEST_CASE("the route with the longest matching prefix of the host is found", "[routing]")
 {
 	catalog_data data;
 	for (const auto* prefix : {"/a/", "/a/b/", "/"})
 	{
-		route one;
-		one.id = route_id{prefix};
-		one.host = "Example";
-		one.path_prefix = prefix;
-		one.services.push_back({service_id{"s"}, 1});
-		data.routes.push_back(one);
+		route added;
+		added.id = route_id{prefix};
+		added.host = "Example";
+		added.path_prefix = prefix;
+		added.services.push_back({service_id{"s"}, 1});
+		data.routes.push_back(added);
 	}
-	const catalog made{data};
-	CHECK(made.find_route("example:80", "/a/b/c")->id.str() == "/a/b/");
-	CHECK(made.find_route("EXAMPLE", "/a/bc")->id.str() == "/a/");
-	CHECK(made.find_route("example", "/x")->id.str() == "/");
-	CHECK(made.find_route("other", "/a/") == nullptr);
+	const catalog built{data};
+	CHECK(built.find_route("example:80", "/a/b/c")->id.str() == "/a/b/");
+	CHECK(built.find_route("EXAMPLE", "/a/bc")->id.str() == "/a/");
+	CHECK(built.find_route("example", "/x")->id.str() == "/");
+	CHECK(built.find_route("other", "/a/") == nullptr);
 }
 
-TEST_CASE("a split gives each service its share, and the same point the same service", "[routing]")
+TEST_CASE("a traffic split gives each service its share, and equal hashes the same service", "[routing]")
 {
 	route split;
 	split.services = {{service_id{"a"}, 9}, {service_id{"b"}, 1}};
@@ -62,7 +62,7 @@
 	CHECK(b == 100);
 }
 
-TEST_CASE("addresses are read strictly", "[routing]")
+TEST_CASE("malformed addresses are rejected", "[routing]")
 {
 	CHECK(address::parse("10.0.0.1:80") == address{"10.0.0.1", 80});
 	for (const auto* wrong :
@@ -72,56 +72,57 @@
 	}
 }
 
-TEST_CASE("an entry that goes while the registry is sound is gone at once", "[replicas]")
+TEST_CASE("a replica whose entry is removed while the registry is available is gone at once", "[replicas]")
 {
-	settled_set world;
-	world.set.remove(replica_id{"a"}, at(milliseconds{0}));
-	CHECK(world.changes == std::vector{replica_change::gone});
+	replica_fixture fixture;
+	fixture.set.remove(replica_id{"a"}, at(milliseconds{0}));
+	CHECK(fixture.changes == std::vector{replica_change::gone});
 }
 
-TEST_CASE("an entry that lapses around an outage is kept until it had time to come back", "[replicas]")
+TEST_CASE("a replica whose entry expires around an outage is kept until the entry has had time to return",
+	"[replicas]")
 {
-	settled_set world;
-	world.set.note_unsound(at(milliseconds{0}));
-	world.set.note_sound(at(milliseconds{5000}));
-	world.set.remove(replica_id{"a"}, at(milliseconds{5000}));
-	CHECK(world.changes == std::vector{replica_change::suspected});
-	CHECK(world.set.of(service_id{"s"}).size() == 1);
+	replica_fixture fixture;
+	fixture.set.note_unsound(at(milliseconds{0}));
+	fixture.set.note_sound(at(milliseconds{5000}));
+	fixture.set.remove(replica_id{"a"}, at(milliseconds{5000}));
+	CHECK(fixture.changes == std::vector{replica_change::suspected});
+	CHECK(fixture.set.of(service_id{"s"}).size() == 1);
 
-	SECTION("it comes back")
+	SECTION("the entry returns")
 	{
-		world.set.put(make_replica("a"), at(milliseconds{6000}));
-		CHECK_FALSE(world.set.expire(at(milliseconds{9000})));
-		CHECK(world.set.size() == 1);
+		fixture.set.put(make_replica("a"), at(milliseconds{6000}));
+		CHECK_FALSE(fixture.set.expire(at(milliseconds{9000})));
+		CHECK(fixture.set.size() == 1);
 	}
-	SECTION("it does not")
+	SECTION("the entry does not return")
 	{
-		const auto due = world.set.expire(at(milliseconds{6000}));
+		const auto due = fixture.set.expire(at(milliseconds{6000}));
 		REQUIRE(due);
-		CHECK_FALSE(world.set.expire(*due));
-		CHECK(world.set.size() == 0);
-		CHECK(world.changes.back() == replica_change::gone);
+		CHECK_FALSE(fixture.set.expire(*due));
+		CHECK(fixture.set.size() == 0);
+		CHECK(fixture.changes.back() == replica_change::gone);
 	}
-	SECTION("the registry goes away again before")
+	SECTION("the registry is lost again before")
 	{
-		world.set.note_unsound(at(milliseconds{6000}));
-		CHECK_FALSE(world.set.expire(at(milliseconds{20000})));
-		CHECK(world.set.size() == 1);
+		fixture.set.note_unsound(at(milliseconds{6000}));
+		CHECK_FALSE(fixture.set.expire(at(milliseconds{20000})));
+		CHECK(fixture.set.size() == 1);
 	}
 }
 
-TEST_CASE("a replica that leaves is not kept for an outage", "[replicas]")
+TEST_CASE("a leaving replica is not kept during an outage", "[replicas]")
 {
-	settled_set world;
+	replica_fixture fixture;
 	auto leaving = make_replica("a");
 	leaving.leaving = true;
-	world.set.put(leaving, at(milliseconds{0}));
-	world.set.note_unsound(at(milliseconds{100}));
-	world.set.remove(replica_id{"a"}, at(milliseconds{200}));
-	CHECK(world.changes == std::vector{replica_change::leaving, replica_change::gone});
+	fixture.set.put(leaving, at(milliseconds{0}));
+	fixture.set.note_unsound(at(milliseconds{100}));
+	fixture.set.remove(replica_id{"a"}, at(milliseconds{200}));
+	CHECK(fixture.changes == std::vector{replica_change::leaving, replica_change::gone});
 }
 
-TEST_CASE("further attempts of all VMs together keep within the ratio of all requests", "[budget]")
+TEST_CASE("additional attempts stay within the ratio of requests", "[budget]")
 {
 	limits::attempt_budget_tuning tuning;
 	tuning.ratio = 0.5;
@@ -140,6 +141,6 @@
 	}
 	CHECK(taken == 5);
 	CHECK_FALSE(budget.take(at(milliseconds{9000})));
-	// Both requests and attempts have left the window.
+	// Both requests and additional attempts have left the window.
 	CHECK(budget.left(at(milliseconds{10100})) == 0);
 }
--- a/tests/routing/size_policy.cpp
+++ b/tests/routing/size_policy.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Sizes of models: what answers first, and when its answer is given up.
+// Model sizes: which model answers first, and when its response is discarded.
 #include <catch2/catch.hpp>
 #include <gingerdyke/routing/first_token_time.hpp>
 #include <gingerdyke/routing/size_policy.hpp>
@@ -11,21 +11,21 @@
 
 namespace
 {
-route sized(std::size_t models)
+route make_route(std::size_t models)
 {
-	route made;
-	made.objective = seconds{2};
+	route result;
+	result.objective = seconds{2};
 	for (std::size_t i = 0; i < models; ++i)
 	{
-		made.models.emplace_back("m" + std::to_string(i));
+		result.models.emplace_back("m" + std::to_string(i));
 	}
-	return made;
+	return result;
 }
 } // namespace
 
-TEST_CASE("the smallest model answers first, and gives way to the largest", "[sizes]")
+TEST_CASE("the smallest model answers first, then the largest", "[sizes]")
 {
-	const auto route = sized(3);
+	const auto route = make_route(3);
 	const auto first = size_policy::first(route, true);
 	CHECK(first.index == 0);
 	CHECK(first.may_escalate);
@@ -36,57 +36,57 @@
 	CHECK_FALSE(size_policy::after(route, *next));
 }
 
-TEST_CASE("nothing is given up where there is nothing larger, or no second attempt", "[sizes]")
+TEST_CASE("no response is discarded without a larger model or a second attempt", "[sizes]")
 {
-	CHECK_FALSE(size_policy::first(sized(1), true).may_escalate);
-	CHECK_FALSE(size_policy::first(sized(3), false).may_escalate);
+	CHECK_FALSE(size_policy::first(make_route(1), true).may_escalate);
+	CHECK_FALSE(size_policy::first(make_route(3), false).may_escalate);
 }
 
-TEST_CASE("the later the larger model's answer would come, the less confidence is asked for", "[sizes]")
+TEST_CASE("the later the larger model's response would begin, the less confidence is required", "[sizes]")
 {
 	const size_policy policy;
-	const auto route = sized(3);
+	const auto route = make_route(3);
 	CHECK(policy.threshold(route, milliseconds{100}) == Approx(size_tuning{}.escalate_below));
-	auto last = size_tuning{}.escalate_below;
+	auto previous = size_tuning{}.escalate_below;
 	for (int ms = 300; ms <= 2700; ms += 200)
 	{
 		const auto next = policy.threshold(route, milliseconds{ms});
-		CHECK(next < last);
-		last = next;
+		CHECK(next < previous);
+		previous = next;
 	}
 	CHECK(policy.threshold(route, milliseconds{2800}) == Approx(0).margin(0.01));
 	CHECK(policy.threshold(route, seconds{60}) == 0);
 }
 
-TEST_CASE("the time to the first token is learnt, whatever the engines' speed", "[sizes]")
+TEST_CASE("the estimate of the time to first token adapts to the speed of the engines", "[sizes]")
 {
 	for (const double speed : {4.0, 12.0, 36.0})
 	{
 		CAPTURE(speed);
 		instant now{seconds{100}};
-		first_token_time times;
+		first_token_time estimator;
 		for (int i = 0; i < 300; ++i)
 		{
 			now += milliseconds{300};
 			const double work = 4000 + 500 * (i % 20);
-			times.note(work, scaled(milliseconds{1}, work / speed), now);
+			estimator.note(work, scaled(milliseconds{1}, work / speed), now);
 		}
-		CHECK(to_milliseconds(times.expected(6000, now)) == Approx(6000 / speed).epsilon(0.1));
+		CHECK(to_milliseconds(estimator.expected(6000, now)) == Approx(6000 / speed).epsilon(0.1));
 	}
 }
 
-TEST_CASE("engines that turn slow are soon expected to be, and forgiven when nothing is known", "[sizes]")
+TEST_CASE("the estimate follows engines that become slow, and recovers without responses", "[sizes]")
 {
 	instant now{seconds{100}};
-	first_token_time times;
-	const auto before = times.expected(6000, now);
+	first_token_time estimator;
+	const auto before = estimator.expected(6000, now);
 	for (int i = 0; i < 30; ++i)
 	{
 		now += milliseconds{300};
-		times.note(6000, before * 20, now);
+		estimator.note(6000, before * 20, now);
 	}
-	CHECK(times.expected(6000, now) > before * 10);
-	// Nothing is sent at such an estimate, so that no answer corrects it.
+	CHECK(estimator.expected(6000, now) > before * 10);
+	// With such an estimate nothing is sent, so no response corrects it.
 	now += seconds{90};
-	CHECK(times.expected(6000, now) < before * 2);
+	CHECK(estimator.expected(6000, now) < before * 2);
 }
