--- a/include/gingerdyke/limits/attempt_budget.hpp
+++ b/include/gingerdyke/limits/attempt_budget.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Bounds what one VM sends beyond the first attempt of each request, so that all VMs together keep a
-// fleet-wide bound without agreeing on anything.
+// Limits the additional attempts of one VM's requests, so that all VMs together keep to a fleet-wide limit
+// without coordination.
 #pragma once
 
 #include <deque>
@@ -8,81 +8,81 @@
 
 namespace gingerdyke::limits
 {
-/// \brief The fleet-wide bound, and the share of it that this VM takes.
+/// \brief The fleet-wide limit, and the share of it that this VM uses.
 struct attempt_budget_tuning
 {
-	/// Further attempts allowed for each request of the window, over all VMs.
+	/// Additional attempts allowed per request in the window, over all VMs.
 	double ratio = 0.2;
 
 	/// Length of the sliding window.
 	duration window = std::chrono::seconds{10};
 
-	/// Part of the ratio that is used. The rest covers requests that reach one window here and another one
-	/// at the replica.
+	/// Share of the ratio that is used. The rest is a margin for requests that fall into one window here
+	/// and into another one at the replica.
 	double used_share = 0.92;
 
-	/// Further attempts that are allowed on top, for this VM alone.
+	/// Additional attempts that are allowed on top, for this VM alone.
 	double slack = 0;
 };
 
-/// \brief Counts requests and further attempts over a sliding window. A VM that keeps to the ratio of its own
-/// requests keeps the sum over all VMs within the ratio of all requests.
+/// \brief Counts requests and additional attempts over a sliding window. If each VM keeps to the ratio for
+/// its own requests, the sum over all VMs keeps to the ratio for all requests.
 class attempt_budget
 {
   public:
 	explicit attempt_budget(attempt_budget_tuning tuning) : tuning_(tuning) {}
 
-	/// \brief Notes a caller's request.
+	/// \brief Records a client's request.
 	void note_request(instant now)
 	{
-		forget_old(now);
+		drop_expired(now);
 		requests_.push_back(now);
 	}
 
-	/// \brief Takes one further attempt if the budget has one.
+	/// \brief Takes one additional attempt from the budget if one is available.
 	[[nodiscard]] bool take(instant now)
 	{
 		if (left(now) < 1)
 		{
 			return false;
 		}
-		further_.push_back(now);
+		additional_.push_back(now);
 		return true;
 	}
 
-	/// \brief Gives back the attempt that was taken last: it was not sent.
+	/// \brief Returns the attempt that was taken last, because it was not sent.
 	void give_back()
 	{
-		if (!further_.empty())
+		if (!additional_.empty())
 		{
-			further_.pop_back();
+			additional_.pop_back();
 		}
 	}
 
-	/// \brief Further attempts that may be sent now.
+	/// \brief Number of additional attempts that may be sent now.
 	[[nodiscard]] double left(instant now)
 	{
-		forget_old(now);
+		drop_expired(now);
 		const auto earned = tuning_.ratio * tuning_.used_share * static_cast<double>(requests_.size());
-		return earned + tuning_.slack - static_cast<double>(further_.size());
+		return earned + tuning_.slack - static_cast<double>(additional_.size());
 	}
 
   private:
-	void forget_old(instant now)
+	void drop_expired(instant now)
 	{
 		const auto oldest = now - tuning_.window;
 		while (!requests_.empty() && requests_.front() <= oldest)
 		{
 			requests_.pop_front();
 		}
-		while (!further_.empty() && further_.front() <= oldest)
+		while (!additional_.empty() && additional_.front() <= oldest)
 		{
-			further_.pop_front();
+			additional_.pop_front();
 		}
 	}
 
 	attempt_budget_tuning tuning_;
 	std::deque<instant> requests_;
-	std::deque<instant> further_;
+	std::deque<instant> additional_;
 };
 } // namespace gingerdyke::limits
--- a/include/gingerdyke/limits/call_gate.hpp
+++ b/include/gingerdyke/limits/call_gate.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Platform calls pass one limiter: claims first, then bills, then table reads, then the rest.
+// Rate limiter for calls to the platform: claims first, then bills, then table reads, then the rest.
 #pragma once
 
 #include <algorithm>
@@ -11,21 +11,21 @@
 
 namespace gingerdyke::limits
 {
-/// \brief Holds calls back to a rate; the most urgent goes first.
+/// \brief Queues calls and releases them at a limited rate, the most urgent first.
 class call_gate
 {
   public:
-	/// \param rate Calls a second that this VM may make.
-	/// \param burst Calls that may go at once.
+	/// \param rate Calls per second that this VM may make.
+	/// \param burst Calls that may be released at once.
 	call_gate(double rate, double burst, instant now) : bucket_(rate, burst, now) {}
 
 	void add(call_store call)
 	{
-		const auto order = std::pair{call.urgency, next_++};
+		const auto order = std::pair{call.urgency, next_sequence_++};
 		waiting_.emplace(order, std::move(call));
 	}
 
-	/// \brief The calls that may go now.
+	/// \brief Removes and returns the calls that may be made now.
 	[[nodiscard]] std::vector<call_store> take(instant now)
 	{
 		std::vector<call_store> result;
@@ -42,6 +42,6 @@
   private:
 	token_bucket bucket_;
 	std::map<std::pair<store::priority, std::uint64_t>, call_store> waiting_;
-	std::uint64_t next_ = 0;
+	std::uint64_t next_sequence_ = 0;
 };
 } // namespace gingerdyke::limits
--- a/include/gingerdyke/limits/retry_budget.hpp
+++ b/include/gingerdyke/limits/retry_budget.hpp
@@ -1,37 +1,38 @@
 // SPDX-License-Identifier: MIT
-// Bounds retries to a share of recent successes, so that they can't make an overload worse.
+// Limits retries to a share of recent successes, so that they cannot amplify an overload.
 #pragma once
 
 #include <algorithm>
 
 namespace gingerdyke::limits
 {
-/// \brief Each success earns a part of a retry; a retry spends one. A small reserve lets the first through.
+/// \brief Each success earns a fraction of a retry, and a retry spends one. The initial reserve, which is
+/// also the maximum, allows the first retries.
 class retry_budget
 {
   public:
 	explicit retry_budget(double per_success = 0.1, double reserve = 10)
-		: per_success_(per_success), most_(reserve), level_(reserve)
+		: per_success_(per_success), max_balance_(reserve), balance_(reserve)
 	{
 	}
 
-	/// \brief Notes a success.
-	void earn() noexcept { level_ = std::min(most_, level_ + per_success_); }
+	/// \brief Records a success.
+	void earn() noexcept { balance_ = std::min(max_balance_, balance_ + per_success_); }
 
-	/// \brief Takes one retry if there is one.
+	/// \brief Takes one retry from the budget if one is available.
 	[[nodiscard]] bool spend() noexcept
 	{
-		if (level_ < 1)
+		if (balance_ < 1)
 		{
 			return false;
 		}
-		level_ -= 1;
+		balance_ -= 1;
 		return true;
 	}
 
   private:
 	double per_success_;
-	double most_;
-	double level_;
+	double max_balance_;
+	double balance_;
 };
 } // namespace gingerdyke::limits
--- a/include/gingerdyke/limits/token_bucket.hpp
+++ b/include/gingerdyke/limits/token_bucket.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Token bucket: a rate with a burst.
+// Token bucket rate limiter.
 #pragma once
 
 #include <algorithm>
@@ -7,42 +7,43 @@
 
 namespace gingerdyke::limits
 {
-/// \brief Lets through a rate on average, and a burst at once.
+/// \brief Allows a rate on average, and a burst at once.
 class token_bucket
 {
   public:
-	/// \param rate Units a second.
-	/// \param burst Most units that may pass at once.
-	token_bucket(double rate, double burst, instant now) : rate_(rate), burst_(burst), level_(burst), at_(now)
+	/// \param rate Tokens per second.
+	/// \param burst Capacity: the most tokens that may be taken at once.
+	token_bucket(double rate, double burst, instant now)
+		: rate_(rate), burst_(burst), tokens_(burst), refilled_at_(now)
 	{
 	}
 
-	/// \brief Changes rate and burst; what was saved up stays, within the new burst.
+	/// \brief Changes rate and burst; accumulated tokens are kept up to the new burst.
 	void set_rate(double rate, double burst, instant now)
 	{
 		refill(now);
 		rate_ = rate;
 		burst_ = burst;
-		level_ = std::min(level_, burst_);
+		tokens_ = std::min(tokens_, burst_);
 	}
 
-	/// \brief Takes an amount if there is enough.
+	/// \brief Takes a number of tokens if there are enough.
 	[[nodiscard]] bool take(double amount, instant now)
 	{
 		refill(now);
-		if (level_ < amount)
+		if (tokens_ < amount)
 		{
 			return false;
 		}
-		level_ -= amount;
+		tokens_ -= amount;
 		return true;
 	}
 
-	/// \brief How long until an amount will be there; the longest duration where it never will.
+	/// \brief Time until a number of tokens is available; the longest duration if it never will be.
 	[[nodiscard]] duration wait_for(double amount, instant now)
 	{
 		refill(now);
-		if (level_ >= amount)
+		if (tokens_ >= amount)
 		{
 			return duration{0};
 		}
@@ -50,8 +51,8 @@
 		{
 			return duration::max();
 		}
-		constexpr double microseconds = 1e6;
-		return duration{static_cast<duration::rep>((amount - level_) / rate_ * microseconds) + 1};
+		constexpr double us_per_second = 1e6;
+		return duration{static_cast<duration::rep>((amount - tokens_) / rate_ * us_per_second) + 1};
 	}
 
 	[[nodiscard]] double rate() const noexcept { return rate_; }
@@ -59,18 +60,19 @@
   private:
 	void refill(instant now)
 	{
-		if (now <= at_)
+		if (now <= refilled_at_)
 		{
 			return;
 		}
-		constexpr double seconds = 1e-6;
-		level_ = std::min(burst_, level_ + rate_ * static_cast<double>((now - at_).count()) * seconds);
-		at_ = now;
+		constexpr double seconds_per_us = 1e-6;
+		tokens_ = std::min(
+			burst_, tokens_ + rate_ * static_cast<double>((now - refilled_at_).count()) * seconds_per_us);
+		refilled_at_ = now;
 	}
 
 	double rate_;
 	double burst_;
-	double level_;
-	instant at_;
+	double tokens_;
+	instant refilled_at_;
 };
 } // namespace gingerdyke::limits
--- a/include/gingerdyke/limits/workspace_limiter.hpp
+++ b/include/gingerdyke/limits/workspace_limiter.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// This VM's part of each workspace's request limit.
+// This VM's share of each workspace's request limit.
 #pragma once
 
 #include <gingerdyke/limits/token_bucket.hpp>
@@ -10,20 +10,21 @@
 
 namespace gingerdyke::limits
 {
-/// \brief Splits each workspace's limit evenly over the failure domains of the table and, within one, over
-/// its live entry VMs. The split over failure domains is fixed, so a cut can't raise the sum.
+/// \brief Splits each workspace's limit evenly over the failure domains of the table and, within a domain,
+/// over its live entry VMs. The split over failure domains is fixed, so a network partition cannot raise
+/// the sum.
 class workspace_limiter
 {
   public:
 	explicit workspace_limiter(const membership::live_list& live) : live_(live) {}
 
-	/// \brief Lets one request pass.
-	/// \returns Nothing where it may pass, else how long to wait until the next may.
+	/// \brief Takes one request from the workspace's limit.
+	/// \returns None if the request may pass, otherwise the time until the next one may.
 	[[nodiscard]] std::optional<duration> admit(
 		const table::table& table, const table::workspace_row& workspace, instant now);
 
   private:
-	[[nodiscard]] double own_rate(const table::table& table, const table::workspace_row& workspace) const;
+	[[nodiscard]] double local_rate(const table::table& table, const table::workspace_row& workspace) const;
 
 	const membership::live_list& live_;
 	std::map<workspace_id, token_bucket> buckets_;
--- a/include/gingerdyke/quarantine/replica_runs.hpp
+++ b/include/gingerdyke/quarantine/replica_runs.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Which requests run on each replica, so that it can be told under which of them it ended.
+// Tracks which requests run on each replica, to identify those that were running when its process exited.
 #pragma once
 
 #include <gingerdyke/base/units.hpp>
@@ -11,64 +11,69 @@
 
 namespace gingerdyke::quarantine
 {
-/// \brief Names one run of a request on a VM.
+/// \brief Identifies one execution of a request on this VM.
 using run_number = quantity<struct run_tag>;
 
-/// \brief One life of a replica's process, the same on all VMs: its id, its start, and how often it had ended
-/// before under that id and start, where it does not tell its start.
+/// \brief Identifies one process of a replica, equally on all VMs. A hash of the replica's id, its
+/// incarnation, and the number of earlier exits under the same id and incarnation, which tells processes of
+/// a replica with unknown incarnation apart.
 using process_life = quantity<struct process_life_tag>;
 
-/// \brief How a run ended, as far as it tells about the request.
+/// \brief Outcome of an execution, as far as it tells about the request.
 enum class run_end
 {
-	/// The replica answered it to the end with a success, and lived.
+	/// The replica completed it successfully and kept running.
 	survived,
-	/// The replica answered it to the end, with a failure, or says that it did not run it.
+	/// The replica completed it with an error, or reports that it did not execute it.
 	over,
-	/// Nobody waits for it any more, or its connection broke: it may still be under way there.
+	/// It was cancelled, or its connection broke: the replica may still be executing it.
 	given_up,
 };
 
 /// \brief Tuning of `replica_runs`.
 struct replica_runs_tuning
 {
-	/// A run that was given up counts as under way for this long: replicas drop it some time after its
-	/// connection closes, and what ends them shows only with the next answer that is due from them.
-	duration aftermath = std::chrono::seconds{1};
+	/// How long an abandoned execution counts as running: replicas cancel it some time after its connection
+	/// was closed, and an exit that it causes shows only with the next response that is due from the
+	/// replica.
+	duration abandoned_lifetime = std::chrono::seconds{1};
 };
 
-/// \brief Keeps the runs of this VM's requests by replica.
+/// \brief Keeps the executions of this VM's requests by replica process.
 class replica_runs
 {
   public:
 	explicit replica_runs(replica_runs_tuning tuning = {}) : tuning_(tuning) {}
 
-	/// \brief Notes that a request is sent to a replica.
-	[[nodiscard]] run_number begin(const routing::replica& at, request_key key, instant now);
+	/// \brief Records that a request is sent to a replica.
+	[[nodiscard]] run_number begin(const routing::replica& target, request_key key, instant now);
 
-	/// \brief Notes how a run ended.
-	void end(const routing::replica& at, run_number run, run_end how, instant now);
+	/// \brief Records the outcome of an execution.
+	void end(const routing::replica& target, run_number run, run_end outcome, instant now);
 
-	/// \brief Notes that a replica took a connection. Where the connection was begun after the replica's end
-	/// was noted, another process listens there, whether or not the replica's entry tells of it yet.
-	/// \param begun When the connection was begun.
-	void note_connected(const routing::replica& one, instant begun);
+	/// \brief Records that a replica accepted a connection. If the connection attempt began after the
+	/// replica's exit was recorded, a new process is listening there, whether or not the replica's entry
+	/// shows it yet.
+	/// \param began_at When the connection attempt began.
+	void note_connected(const routing::replica& target, instant began_at);
 
-	/// \brief Notes that a replica's process has ended, and with it all that ran there.
-	/// \returns False where that is known already, or no request of this VM was sent to that process.
-	bool note_ended(const routing::replica& one, instant now);
+	/// \brief Records that a replica's process has exited, which also ends all executions on it.
+	/// \returns False if the exit is already recorded or this VM sent no request to that process.
+	bool note_ended(const routing::replica& target, instant now);
 
-	/// \brief Whether a replica has ended and taken no connection since.
-	[[nodiscard]] bool has_ended(const routing::replica& one) const;
+	/// \brief Whether a replica has exited and accepted no connection since.
+	[[nodiscard]] bool has_ended(const routing::replica& target) const;
 
-	/// \brief The present life of a replica's process; the last one where it has ended.
-	[[nodiscard]] process_life life_of(const routing::replica& one) const;
+	/// \brief Returns the current process of a replica, or the last one if it has exited.
+	[[nodiscard]] process_life life_of(const routing::replica& target) const;
 
-	/// \brief Requests that run on a replica, or were given up there a moment ago; each once.
-	[[nodiscard]] std::vector<request_key> running_at(const routing::replica& one, instant now) const;
+	/// \brief Returns the requests that run on a replica or were abandoned there a moment ago, without
+	/// duplicates.
+	[[nodiscard]] std::vector<request_key> running_at(const routing::replica& target, instant now) const;
 
-	/// \brief Notes that a replica's entry is gone, or is another process's. What was sent there under the
-	/// old entry runs on: the next process may have taken it before its entry was known here.
+	/// \brief Records that a replica's entry was removed or replaced by another process's. Executions that
+	/// were sent under the old entry are kept until they end: the next process may have received them
+	/// before its entry was known here.
 	void release(const replica_id& id, instant now);
 
   private:
@@ -77,40 +82,40 @@
 		run_number number;
 		request_key key;
 
-		/// When it was given up; none: it is under way.
-		std::optional<instant> given_up_at;
+		/// When it was abandoned; none: it is running.
+		std::optional<instant> abandoned_at;
 	};
 
-	/// The processes that this VM's requests reach by one entry.
+	/// The processes that this VM's requests reach through one registry entry.
 	struct process
 	{
-		/// Ends that this VM saw under this entry.
-		unsigned ends{};
+		/// Number of exits that this VM saw under this entry.
+		unsigned exit_count{};
 
-		/// When the end of the present process was noted; none: it lives.
-		std::optional<instant> ended_at;
+		/// When the exit of the current process was recorded; none: it is running.
+		std::optional<instant> exited_at;
 
-		/// No further request is sent by this entry.
-		bool is_released{};
+		/// The entry is no longer used for new requests.
+		bool is_entry_removed{};
 		std::vector<run> runs;
 	};
 
-	struct entry_name
+	struct entry_id
 	{
 		replica_id id;
 		routing::replica_incarnation incarnation;
 
-		auto operator<=>(const entry_name&) const = default;
+		auto operator<=>(const entry_id&) const = default;
 	};
 
-	[[nodiscard]] static entry_name name_of(const routing::replica& one);
-	[[nodiscard]] const process* find(const routing::replica& one) const;
-	[[nodiscard]] process* find(const routing::replica& one);
-	[[nodiscard]] bool counts(const run& one, instant now) const;
-	void drop_old_runs(process& of, instant now) const;
+	[[nodiscard]] static entry_id entry_id_of(const routing::replica& target);
+	[[nodiscard]] const process* find(const routing::replica& target) const;
+	[[nodiscard]] process* find(const routing::replica& target);
+	[[nodiscard]] bool is_running(const run& execution, instant now) const;
+	void drop_expired_runs(process& target, instant now) const;
 
 	replica_runs_tuning tuning_;
-	std::map<entry_name, process> processes_;
-	std::int64_t last_run_ = 0;
+	std::map<entry_id, process> processes_;
+	std::int64_t last_run_number_ = 0;
 };
 } // namespace gingerdyke::quarantine
--- a/include/gingerdyke/quarantine/request_key.hpp
+++ b/include/gingerdyke/quarantine/request_key.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What makes two requests the same one, asked again.
+// Identifies repetitions of the same request.
 #pragma once
 
 #include <gingerdyke/base/ids.hpp>
@@ -7,22 +7,23 @@
 
 namespace gingerdyke::quarantine
 {
-/// \brief Names a request by what it asks, on all VMs alike.
+/// \brief Identifies a request by its content, equally on all VMs.
 using request_key = string_id<struct request_key_tag>;
 
-/// \brief What a request asks. Its id, its other headers and the VM that takes it differ from try to try.
+/// \brief Content that identifies a request. The request id, other headers and the VM that receives the
+/// request are not part of it because they differ between retries.
 struct request_content
 {
 	std::string_view method;
 	std::string_view host;
 	std::string_view target;
 
-	/// Who asks; empty where the route needs no key.
+	/// Workspace of the client; empty if the route needs no key.
 	std::string_view workspace;
 	std::string_view body;
 };
 
-/// \brief The key of a request: a part of a SHA-256 over all of its content, the workspace too, so that
-/// nobody can make a request that has the key of another workspace's.
+/// \brief Computes the key of a request: a prefix of a SHA-256 over all of its content, including the
+/// workspace, so that no client can create a request with the same key as another workspace's request.
 [[nodiscard]] request_key key_of(const request_content& content);
 } // namespace gingerdyke::quarantine
--- a/include/gingerdyke/quarantine/suspect_list.hpp
+++ b/include/gingerdyke/quarantine/suspect_list.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Requests under which replicas ended, and which of them are sent to no replica any more.
+// Requests that were running when replicas exited, and which of them are quarantined, that is, no longer
+// sent to any replica.
 #pragma once
 
 #include <gingerdyke/quarantine/replica_runs.hpp>
@@ -10,20 +11,21 @@
 
 namespace gingerdyke::quarantine
 {
-/// \brief Lives of replicas that ended, each with other lives that ended at the same moment.
+/// \brief Replica processes that exited, each with the other processes that exited at the same time.
 using ended_lives = std::map<process_life, std::set<process_life>>;
 
-/// \brief What is known of one request: sets that only grow, so that reports may come in any order and more
+/// \brief Evidence against one request. The sets only grow, so reports may arrive in any order and more
 /// than once, from any VM.
 struct suspicion
 {
 	request_key key;
 
-	/// Lives of replicas that ended under it. Whether those that ended at the same moment ended under it too
-	/// is only known once the reports of all VMs are united: each knows what it sent itself.
+	/// Replica processes that exited while they were running the request. Whether the processes that exited
+	/// at the same time were running it too is known only after the reports of all VMs are merged: each VM
+	/// knows only what it sent itself.
 	ended_lives ended;
 
-	/// Lives of replicas that answered it to the end.
+	/// Replica processes that completed the request.
 	std::set<process_life> survived;
 
 	auto operator<=>(const suspicion&) const = default;
@@ -32,106 +34,115 @@
 /// \brief Tuning of `suspect_list`.
 struct suspect_tuning
 {
-	/// A request is held back once this many replicas ended under it. One end in a deployment of 18 replicas
-	/// stands beside 20 and more requests, two still beside some; the users allow a few more sends only.
-	double ends_to_hold = 3;
-
-	/// Weight of an end that came together with others. A request that stood on three replicas of a rack, or
-	/// was taken up by others that were lost in the next failure, is still served: of 458 requests that stood
-	/// beside ends with causes of their own 24 would have been held with a weight of 1 (a day of six series
-	/// of ends in 41 s).
-	double together_weight = 0.5;
-
-	/// Ends at the same time have another cause than a request that did not stand beside this many of them.
-	/// One that stood beside all of them, at whatever VMs, may have caused all.
-	std::size_t others_together = 2;
-
-	/// A request is held back only where more than this many replicas ended under it for each that answered
-	/// it: one that many callers send is answered again and again, whatever ends beside it.
-	double ends_for_survival = 2;
-
-	/// How long after the last end nothing is forgotten. Callers repeat for minutes; whoever mends a model,
-	/// or the request, is not kept waiting for longer than a roll-out takes.
+	/// Weighted number of exits at which a request is quarantined. In a deployment of 18 replicas, a single
+	/// exit involves 20 and more requests and two exits still share some; users allow only a few more
+	/// sends.
+	double quarantine_exits = 3;
+
+	/// Weight of an exit that coincided with others. At this weight, requests that were running on three
+	/// replicas of a failed rack, or were retried on replicas that were lost in the next failure, are still
+	/// served. With a weight of 1, 24 of 458 requests that were running during unrelated exits would have
+	/// been quarantined (in one day with six series of exits within 41 s).
+	double simultaneous_weight = 0.5;
+
+	/// Simultaneous exits are attributed to another cause if at least this many of the processes were not
+	/// running the request. A request that was running on all of them, sent by any VMs, may have caused all
+	/// the exits.
+	std::size_t min_unrelated = 2;
+
+	/// A request is quarantined only if its weighted exits exceed this many per process that completed it:
+	/// a popular request is completed again and again, even if processes exit while they run it.
+	double min_exits_per_completion = 2;
+
+	/// How long evidence is kept after the last exit. Clients retry for minutes, and whoever fixes a model
+	/// or the request need not wait for longer than a roll-out takes.
 	duration lifetime = std::chrono::minutes{10};
 
-	/// A VM stores by itself what weighs as much, if it saw one of the ends: the next end would hold the
-	/// request back, and the way over the VM that reads for it takes 0.2 s more.
-	double weight_to_store = 2;
+	/// Evidence of at least this weight is stored by any VM that saw one of the exits itself: the next exit
+	/// would quarantine the request, and storing it through the VM that reads the registry for others takes
+	/// 0.2 s more.
+	double direct_store_weight = 2;
 
-	/// Lives that are kept of each kind, the smallest on all VMs alike: beyond these nothing changes.
-	std::size_t most_lives = 8;
+	/// Maximum number of processes in each set; all VMs keep the smallest ones. More would change no
+	/// decision.
+	std::size_t max_processes = 8;
 
-	/// Lives that are kept as ended at the same moment as another one. Two that did not end under the request
-	/// are looked for, and two more may have; each costs 8 bytes in every report.
-	std::size_t most_together = 4;
+	/// Maximum number of processes kept as having exited at the same time as another one. Two that were not
+	/// running the request are needed for a decision, and two more may turn out to have been running it;
+	/// each adds 8 bytes to every report.
+	std::size_t max_simultaneous = 4;
 
-	/// Requests that are kept; those under which fewest replicas ended go first. A loss of 20 engines at once
-	/// leaves about 500 on the VMs of a failure domain.
-	std::size_t most_suspects = 1024;
+	/// Maximum number of suspect requests; those with the fewest exits are dropped first. A simultaneous
+	/// loss of 20 engines leaves about 500 on the VMs of a failure domain.
+	std::size_t max_suspects = 1024;
 
-	/// For how long news is told to other VMs with each report: several reports, as one may be lost.
-	duration news_time = std::chrono::seconds{4};
+	/// How long a change is included in reports to other VMs: several reports, as one may be lost.
+	duration report_time = std::chrono::seconds{4};
 
-	/// Requests told in one report, and those of a single end that are stored at once. Where more are new,
-	/// many replicas ended at once, and single ends say next to nothing.
-	std::size_t most_told = 64;
-	std::size_t most_singles_stored = 32;
+	/// Maximum number of requests in one report, and of requests with a single exit that are stored at
+	/// once. If more are new, many replicas exited at once and a single exit is hardly evidence.
+	std::size_t max_reported = 64;
+	std::size_t max_singles_stored = 32;
 };
 
-/// \brief Keeps what this VM knows, of its own and told by others.
+/// \brief Keeps the evidence against requests, from this VM and from others.
 class suspect_list
 {
   public:
-	/// \brief Told when a request begins to be held back, with the weight of the ends under it.
+	/// \brief Called when a request becomes quarantined, with the total weight of its exits.
 	using hold_hook = std::function<void(const suspicion&, double weight)>;
 
-	explicit suspect_list(hold_hook held, suspect_tuning tuning = {});
+	explicit suspect_list(hold_hook on_quarantine, suspect_tuning tuning = {});
 
-	/// \brief Notes that a replica probably ended under some requests, until `confirm` or `retract` tells.
+	/// \brief Records that a replica process probably exited while it was running some requests, until
+	/// `confirm` or `retract` is called.
 	void presume(process_life life, const std::vector<request_key>& requests, instant now);
 
-	/// \brief Notes that it did end.
-	/// \param together Lives that ended at the same time, whatever ran on them; empty: it came alone.
-	void confirm(process_life life, const std::vector<process_life>& together, instant now);
+	/// \brief Confirms that a process exited.
+	/// \param simultaneous Processes that exited at the same time, whatever they were running; empty: none
+	/// did.
+	void confirm(process_life life, const std::vector<process_life>& simultaneous, instant now);
 
-	/// \brief Notes that it did not, or that this is not known.
+	/// \brief Withdraws a presumed exit: the process did not exit, or this cannot be determined.
 	void retract(process_life life);
 
-	/// \brief Notes that a replica answered a request to the end; without effect where nothing speaks against
-	/// the request.
+	/// \brief Records that a replica process completed a request; no effect unless there is evidence
+	/// against the request.
 	void note_survived(const request_key& key, process_life life, instant now);
 
-	/// \brief Takes what another VM knows.
-	/// \param last_end When a replica last ended under it.
+	/// \brief Merges the evidence of another VM.
+	/// \param last_end When a replica last exited while running the request.
 	void merge(const suspicion& told, instant last_end, instant now);
 
-	/// \brief Takes what the registry holds; it need not be stored again.
+	/// \brief Merges evidence from the registry; it need not be stored again.
 	void note_stored(const suspicion& stored, instant last_end, instant now);
 
-	/// \brief Forgets a request: an operator removed its row.
+	/// \brief Drops the evidence against a request, because an operator removed its row.
 	void forget(const request_key& key) { suspects_.erase(key); }
 
-	/// \brief Whether a request is sent to no replica any more.
+	/// \brief Whether a request is quarantined.
 	[[nodiscard]] bool is_held(const request_key& key, instant now) const;
 
-	/// \brief Whether it depends on an end that is only likely yet whether a request is held back.
+	/// \brief Whether a presumed but unconfirmed exit decides whether a request is quarantined.
 	[[nodiscard]] bool is_open(const request_key& key, instant now) const;
 
-	/// \brief Whether the next end would hold a request back.
+	/// \brief Whether the next exit would quarantine a request.
 	[[nodiscard]] bool is_nearly_held(const request_key& key, instant now) const;
 
-	/// \brief What other VMs should be told.
-	/// \param least_ended Only requests under which so many replicas ended.
+	/// \brief Returns recently changed evidence to report to other VMs.
+	/// \param least_ended Minimum number of exits of the returned requests.
 	[[nodiscard]] std::vector<suspicion> news(std::size_t least_ended, instant now) const;
 
-	/// \brief What the registry should hold and does not, as far as this VM knows.
-	/// \param for_others This VM reads the registry for others, and tells it what they saw.
+	/// \brief Returns evidence that should be stored in the registry and is not yet, as far as this VM
+	/// knows.
+	/// \param for_others This VM reads the registry for others, and stores what they saw.
 	[[nodiscard]] std::vector<suspicion> unstored(bool for_others, instant now) const;
 
-	/// \brief When a replica last ended under a request; none: nothing speaks against it.
+	/// \brief Returns when a replica last exited while running a request; none: there is no evidence
+	/// against it.
 	[[nodiscard]] std::optional<instant> last_end(const request_key& key) const;
 
-	/// \brief Requests that are held back, and all under which replicas ended.
+	/// \brief Number of quarantined requests, and of all suspect requests.
 	[[nodiscard]] std::size_t held_count(instant now) const;
 	[[nodiscard]] std::size_t size() const noexcept { return suspects_.size(); }
 
@@ -141,34 +152,36 @@
 		suspicion known;
 		suspicion stored;
 
-		/// Lives of which it is not known yet whether they ended.
+		/// Processes whose exit is presumed but not yet confirmed.
 		std::set<process_life> presumed;
 		instant last_end;
 		instant changed_at;
 
-		/// A replica ended under it that this VM had sent it to.
-		bool is_own{};
-		bool is_told_held{};
+		/// A replica to which this VM had sent the request exited while running it.
+		bool is_seen_here{};
+		bool is_quarantine_reported{};
 	};
 
 	using entries = std::map<request_key, entry>;
 
 	[[nodiscard]] const entry* find(const request_key& key, instant now) const;
-	[[nodiscard]] bool has_other_cause(const std::set<process_life>& together, const suspicion& known) const;
-	/// Whether at least as many replicas ended under it, at each moment, as ended beside it.
-	[[nodiscard]] bool is_half_known(const suspicion& known) const;
+	[[nodiscard]] bool has_other_cause(
+		const std::set<process_life>& simultaneous, const suspicion& known) const;
+	/// Whether, for each exit, the processes that exited at the same time without running the request are
+	/// no more than those that exited while running it.
+	[[nodiscard]] bool may_be_half_known(const suspicion& known) const;
 	[[nodiscard]] double weight_of(const suspicion& known) const;
-	[[nodiscard]] bool is_enough(const suspicion& known, std::size_t further_ends) const;
-	[[nodiscard]] bool note_together(suspicion& known, const std::vector<process_life>& lives) const;
-	[[nodiscard]] bool is_worth_storing(const entry& one, bool for_others) const;
-	entry& entry_of(const request_key& key, instant now);
-	void add_end(suspicion& to, process_life life, const std::set<process_life>& together) const;
-	[[nodiscard]] bool take(suspicion& into, const suspicion& from) const;
-	void note_change(entry& one, instant now);
-	void drop_old(instant now);
-	void make_room();
-
-	hold_hook held_;
+	[[nodiscard]] bool exceeds_threshold(const suspicion& known, std::size_t additional_exits) const;
+	[[nodiscard]] bool add_simultaneous(suspicion& known, const std::vector<process_life>& lives) const;
+	[[nodiscard]] bool is_worth_storing(const entry& suspect, bool for_others) const;
+	entry& find_or_add(const request_key& key, instant now);
+	void add_end(suspicion& to, process_life life, const std::set<process_life>& simultaneous) const;
+	[[nodiscard]] bool merge_evidence(suspicion& into, const suspicion& from) const;
+	void on_change(entry& suspect, instant now);
+	void drop_expired(instant now);
+	void enforce_max_suspects();
+
+	hold_hook on_quarantine_;
 	suspect_tuning tuning_;
 	entries suspects_;
 };
--- a/src/limits/workspace_limiter.cpp
+++ b/src/limits/workspace_limiter.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// This VM's part of each workspace's request limit.
+// This VM's share of each workspace's request limit.
 #include <gingerdyke/limits/workspace_limiter.hpp>
 #include <set>
 
@@ -7,12 +7,12 @@
 {
 namespace
 {
-/// Seconds of its rate that a workspace may use at once after a pause.
+/// Burst in seconds of the workspace's rate, available after a pause.
 constexpr double burst_seconds = 2.0;
-constexpr double smallest_burst = 1.0;
+constexpr double min_burst = 1.0;
 } // namespace
 
-double workspace_limiter::own_rate(const table::table& table, const table::workspace_row& workspace) const
+double workspace_limiter::local_rate(const table::table& table, const table::workspace_row& workspace) const
 {
 	std::set<failure_domain_id> domains;
 	for (const auto& [id, replica] : table.replicas())
@@ -31,8 +31,8 @@
 	{
 		return std::nullopt;
 	}
-	const auto rate = own_rate(table, workspace);
-	const auto burst = std::max(smallest_burst, rate * burst_seconds);
+	const auto rate = local_rate(table, workspace);
+	const auto burst = std::max(min_burst, rate * burst_seconds);
 	auto& bucket = buckets_.try_emplace(workspace.id, rate, burst, now).first->second;
 	if (bucket.rate() != rate)
 	{
--- a/src/quarantine/replica_runs.cpp
+++ b/src/quarantine/replica_runs.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Which requests run on each replica.
+// Tracks which requests run on each replica.
 #include <algorithm>
 #include <gingerdyke/base/crypto.hpp>
 #include <gingerdyke/quarantine/replica_runs.hpp>
@@ -7,109 +7,109 @@
 
 namespace gingerdyke::quarantine
 {
-replica_runs::entry_name replica_runs::name_of(const routing::replica& one)
+replica_runs::entry_id replica_runs::entry_id_of(const routing::replica& target)
 {
-	return {one.id, one.incarnation};
+	return {target.id, target.incarnation};
 }
 
-const replica_runs::process* replica_runs::find(const routing::replica& one) const
+const replica_runs::process* replica_runs::find(const routing::replica& target) const
 {
-	const auto found = processes_.find(name_of(one));
+	const auto found = processes_.find(entry_id_of(target));
 	return found == processes_.end() ? nullptr : &found->second;
 }
 
-replica_runs::process* replica_runs::find(const routing::replica& one)
+replica_runs::process* replica_runs::find(const routing::replica& target)
 {
-	return const_cast<process*>(std::as_const(*this).find(one));
+	return const_cast<process*>(std::as_const(*this).find(target));
 }
 
-bool replica_runs::counts(const run& one, instant now) const
+bool replica_runs::is_running(const run& execution, instant now) const
 {
-	return !one.given_up_at || now - *one.given_up_at <= tuning_.aftermath;
+	return !execution.abandoned_at || now - *execution.abandoned_at <= tuning_.abandoned_lifetime;
 }
 
-run_number replica_runs::begin(const routing::replica& at, request_key key, instant now)
+run_number replica_runs::begin(const routing::replica& target, request_key key, instant now)
 {
-	auto& process = processes_[name_of(at)];
-	drop_old_runs(process, now);
-	const run_number number{++last_run_};
+	auto& process = processes_[entry_id_of(target)];
+	drop_expired_runs(process, now);
+	const run_number number{++last_run_number_};
 	process.runs.push_back({number, std::move(key), {}});
 	return number;
 }
 
-void replica_runs::drop_old_runs(process& of, instant now) const
+void replica_runs::drop_expired_runs(process& target, instant now) const
 {
-	std::erase_if(of.runs, [&](const run& one) { return !counts(one, now); });
+	std::erase_if(target.runs, [&](const run& execution) { return !is_running(execution, now); });
 }
 
-void replica_runs::end(const routing::replica& at, run_number number, run_end how, instant now)
+void replica_runs::end(const routing::replica& target, run_number number, run_end outcome, instant now)
 {
-	auto* known = find(at);
-	if (known == nullptr)
+	auto* current = find(target);
+	if (current == nullptr)
 	{
 		return;
 	}
-	auto& runs = known->runs;
-	const auto found =
-		std::find_if(runs.begin(), runs.end(), [&](const run& one) { return one.number == number; });
+	auto& runs = current->runs;
+	const auto found = std::find_if(
+		runs.begin(), runs.end(), [&](const run& execution) { return execution.number == number; });
 	if (found == runs.end())
 	{
 		return;
 	}
-	if (how == run_end::given_up)
+	if (outcome == run_end::given_up)
 	{
-		found->given_up_at = now;
+		found->abandoned_at = now;
 		return;
 	}
 	runs.erase(found);
 }
 
-void replica_runs::note_connected(const routing::replica& one, instant begun)
+void replica_runs::note_connected(const routing::replica& target, instant began_at)
 {
-	auto* known = find(one);
-	if (known != nullptr && known->ended_at && begun > *known->ended_at)
+	auto* current = find(target);
+	if (current != nullptr && current->exited_at && began_at > *current->exited_at)
 	{
-		known->ended_at.reset();
+		current->exited_at.reset();
 	}
 }
 
-bool replica_runs::note_ended(const routing::replica& one, instant now)
+bool replica_runs::note_ended(const routing::replica& target, instant now)
 {
-	auto* known = find(one);
-	if (known == nullptr || known->ended_at)
+	auto* current = find(target);
+	if (current == nullptr || current->exited_at)
 	{
 		return false;
 	}
-	known->ended_at = now;
-	++known->ends;
-	known->runs.clear();
+	current->exited_at = now;
+	++current->exit_count;
+	current->runs.clear();
 	return true;
 }
 
-bool replica_runs::has_ended(const routing::replica& one) const
+bool replica_runs::has_ended(const routing::replica& target) const
 {
-	const auto* known = find(one);
-	return known != nullptr && known->ended_at.has_value();
+	const auto* current = find(target);
+	return current != nullptr && current->exited_at.has_value();
 }
 
-process_life replica_runs::life_of(const routing::replica& one) const
+process_life replica_runs::life_of(const routing::replica& target) const
 {
-	const auto* known = find(one);
-	const auto ends_before = known == nullptr ? 0 : known->ends - (known->ended_at ? 1 : 0);
-	return process_life{static_cast<std::int64_t>(mix_hash(routing::process_hash(one), ends_before))};
+	const auto* current = find(target);
+	const auto previous_exits = current == nullptr ? 0 : current->exit_count - (current->exited_at ? 1 : 0);
+	return process_life{static_cast<std::int64_t>(mix_hash(routing::process_hash(target), previous_exits))};
 }
 
-std::vector<request_key> replica_runs::running_at(const routing::replica& one, instant now) const
+std::vector<request_key> replica_runs::running_at(const routing::replica& target, instant now) const
 {
 	std::vector<request_key> keys;
-	const auto* known = find(one);
-	if (known == nullptr)
+	const auto* current = find(target);
+	if (current == nullptr)
 	{
 		return keys;
 	}
-	for (const auto& run : known->runs)
+	for (const auto& run : current->runs)
 	{
-		if (counts(run, now))
+		if (is_running(run, now))
 		{
 			keys.push_back(run.key);
 		}
@@ -121,12 +121,12 @@
 
 void replica_runs::release(const replica_id& id, instant now)
 {
-	for (auto& [name, process] : processes_)
+	for (auto& [key, process] : processes_)
 	{
-		process.is_released = process.is_released || name.id == id;
-		drop_old_runs(process, now);
+		process.is_entry_removed = process.is_entry_removed || key.id == id;
+		drop_expired_runs(process, now);
 	}
-	std::erase_if(
-		processes_, [](const auto& entry) { return entry.second.is_released && entry.second.runs.empty(); });
+	std::erase_if(processes_,
+		[](const auto& entry) { return entry.second.is_entry_removed && entry.second.runs.empty(); });
 }
 } // namespace gingerdyke::quarantine
--- a/src/quarantine/request_key.cpp
+++ b/src/quarantine/request_key.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The key of a request.
+// Computes the key of a request.
 #include <gingerdyke/base/crypto.hpp>
 #include <gingerdyke/quarantine/request_key.hpp>
 #include <string>
@@ -8,19 +8,20 @@
 {
 namespace
 {
-/// 128 bits: none of the 10^12 requests of a year of the largest deployments shares its key with another one.
+/// 128 bits: no two of the 10^12 requests that the largest deployments serve in a year share a key.
 constexpr std::size_t key_digits = 32;
 } // namespace
 
 request_key key_of(const request_content& content)
 {
-	// The body by its own hash: it may be large, and is not copied.
+	// The body is hashed separately instead of copied, since it may be large.
 	const auto body = sha256_hex(content.body);
 	std::string text;
 	for (const std::string_view part :
 		{content.method, content.host, content.target, content.workspace, std::string_view{body}})
 	{
-		// Lengths keep the end of one part from being read as the beginning of the next.
+		// The length prefix separates the parts: without it, moving characters from one part to the next
+		// would give the same key.
 		text += std::to_string(part.size());
 		text += ':';
 		text += part;
--- a/src/quarantine/suspect_list.cpp
+++ b/src/quarantine/suspect_list.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Requests under which replicas ended.
+// Requests that were running when replicas exited.
 #include <algorithm>
 #include <gingerdyke/quarantine/suspect_list.hpp>
 
@@ -7,7 +7,7 @@
 {
 namespace
 {
-/// Keeps the smallest: so the sum of reports does not depend on their order.
+/// Keeps the smallest elements, so that the result of merging reports does not depend on their order.
 template <typename Set>
 void keep_smallest(Set& of, std::size_t most)
 {
@@ -18,7 +18,10 @@
 }
 } // namespace
 
-suspect_list::suspect_list(hold_hook held, suspect_tuning tuning) : held_(std::move(held)), tuning_(tuning) {}
+suspect_list::suspect_list(hold_hook on_quarantine, suspect_tuning tuning)
+	: on_quarantine_(std::move(on_quarantine)), tuning_(tuning)
+{
+}
 
 const suspect_list::entry* suspect_list::find(const request_key& key, instant now) const
 {
@@ -29,119 +32,120 @@
 
 namespace
 {
-/// Lives that ended at a moment and did not end under the request.
-std::size_t count_others(const std::set<process_life>& together, const suspicion& known)
+/// Number of processes among those that exited at the same time that were not running the request.
+std::size_t count_unrelated(const std::set<process_life>& simultaneous, const suspicion& known)
 {
-	return static_cast<std::size_t>(std::count_if(
-		together.begin(), together.end(), [&](process_life life) { return !known.ended.contains(life); }));
+	return static_cast<std::size_t>(std::count_if(simultaneous.begin(), simultaneous.end(),
+		[&](process_life life) { return !known.ended.contains(life); }));
 }
 } // namespace
 
-bool suspect_list::has_other_cause(const std::set<process_life>& together, const suspicion& known) const
+bool suspect_list::has_other_cause(const std::set<process_life>& simultaneous, const suspicion& known) const
 {
-	return count_others(together, known) >= tuning_.others_together;
+	return count_unrelated(simultaneous, known) >= tuning_.min_unrelated;
 }
 
-bool suspect_list::is_half_known(const suspicion& known) const
+bool suspect_list::may_be_half_known(const suspicion& known) const
 {
 	return known.ended.size() > 1 &&
 		   std::all_of(known.ended.begin(), known.ended.end(),
-			   [&](const auto& end) { return count_others(end.second, known) <= known.ended.size(); });
+			   [&](const auto& end) { return count_unrelated(end.second, known) <= known.ended.size(); });
 }
 
 double suspect_list::weight_of(const suspicion& known) const
 {
 	double weight = 0;
-	for (const auto& [life, together] : known.ended)
+	for (const auto& [life, simultaneous] : known.ended)
 	{
-		weight += has_other_cause(together, known) ? tuning_.together_weight : 1;
+		weight += has_other_cause(simultaneous, known) ? tuning_.simultaneous_weight : 1;
 	}
 	return weight;
 }
 
-bool suspect_list::is_enough(const suspicion& known, std::size_t further_ends) const
+bool suspect_list::exceeds_threshold(const suspicion& known, std::size_t additional_exits) const
 {
-	const auto ends = weight_of(known) + static_cast<double>(further_ends);
-	const auto survivals = static_cast<double>(known.survived.size());
-	return ends >= tuning_.ends_to_hold && ends > tuning_.ends_for_survival * survivals;
+	const auto ends = weight_of(known) + static_cast<double>(additional_exits);
+	const auto completions = static_cast<double>(known.survived.size());
+	return ends >= tuning_.quarantine_exits && ends > tuning_.min_exits_per_completion * completions;
 }
 
-/// A loss of many replicas at once leaves requests beside one or two of them: to store these would cost
-/// writes and says next to nothing. Of a request that ended a few at once at VMs of two failure domains each
-/// domain knows a half; only the registry brings the halves together.
-bool suspect_list::is_worth_storing(const entry& one, bool for_others) const
-{
-	const auto weight = weight_of(one.known);
-	const bool has_end_alone = std::any_of(one.known.ended.begin(), one.known.ended.end(),
-		[&](const auto& end) { return !has_other_cause(end.second, one.known); });
-	if (weight >= tuning_.weight_to_store)
+/// A simultaneous loss of many replicas leaves requests that were running on one or two of them: storing
+/// these would cost writes and is hardly evidence. If a request caused several simultaneous exits at VMs of
+/// two failure domains, each domain knows only half of them, and only the registry merges the halves.
+bool suspect_list::is_worth_storing(const entry& suspect, bool for_others) const
+{
+	const auto weight = weight_of(suspect.known);
+	const bool has_isolated_exit = std::any_of(suspect.known.ended.begin(), suspect.known.ended.end(),
+		[&](const auto& end) { return !has_other_cause(end.second, suspect.known); });
+	if (weight >= tuning_.direct_store_weight)
 	{
-		return for_others || one.is_own;
+		return for_others || suspect.is_seen_here;
 	}
-	return for_others && (has_end_alone || is_half_known(one.known));
+	return for_others && (has_isolated_exit || may_be_half_known(suspect.known));
 }
 
 bool suspect_list::is_held(const request_key& key, instant now) const
 {
-	const auto* one = find(key, now);
-	return one != nullptr && is_enough(one->known, 0);
+	const auto* suspect = find(key, now);
+	return suspect != nullptr && exceeds_threshold(suspect->known, 0);
 }
 
 bool suspect_list::is_open(const request_key& key, instant now) const
 {
-	const auto* one = find(key, now);
-	return one != nullptr && !is_enough(one->known, 0) && is_enough(one->known, one->presumed.size());
+	const auto* suspect = find(key, now);
+	return suspect != nullptr && !exceeds_threshold(suspect->known, 0) &&
+		   exceeds_threshold(suspect->known, suspect->presumed.size());
 }
 
 bool suspect_list::is_nearly_held(const request_key& key, instant now) const
 {
-	const auto* one = find(key, now);
-	return one != nullptr && weight_of(one->known) >= tuning_.ends_to_hold - 1;
+	const auto* suspect = find(key, now);
+	return suspect != nullptr && weight_of(suspect->known) >= tuning_.quarantine_exits - 1;
 }
 
-suspect_list::entry& suspect_list::entry_of(const request_key& key, instant now)
+suspect_list::entry& suspect_list::find_or_add(const request_key& key, instant now)
 {
-	auto& one = suspects_[key];
-	one.known.key = key;
-	one.stored.key = key;
-	one.last_end = std::max(one.last_end, now);
-	return one;
+	auto& suspect = suspects_[key];
+	suspect.known.key = key;
+	suspect.stored.key = key;
+	suspect.last_end = std::max(suspect.last_end, now);
+	return suspect;
 }
 
 void suspect_list::presume(process_life life, const std::vector<request_key>& requests, instant now)
 {
-	drop_old(now);
+	drop_expired(now);
 	for (const auto& key : requests)
 	{
-		auto& one = entry_of(key, now);
-		if (!one.known.ended.contains(life))
+		auto& suspect = find_or_add(key, now);
+		if (!suspect.known.ended.contains(life))
 		{
-			one.presumed.insert(life);
+			suspect.presumed.insert(life);
 		}
 	}
-	make_room();
+	enforce_max_suspects();
 }
 
-void suspect_list::confirm(process_life life, const std::vector<process_life>& together, instant now)
+void suspect_list::confirm(process_life life, const std::vector<process_life>& simultaneous, instant now)
 {
-	for (auto& [key, one] : suspects_)
+	for (auto& [key, suspect] : suspects_)
 	{
-		const bool is_under_it = one.presumed.erase(life) > 0;
-		if (is_under_it)
+		const bool was_running = suspect.presumed.erase(life) > 0;
+		if (was_running)
 		{
-			add_end(one.known, life, {});
-			one.is_own = true;
+			add_end(suspect.known, life, {});
+			suspect.is_seen_here = true;
 		}
-		const bool is_new = note_together(one.known, together);
-		if (is_under_it || is_new)
+		const bool is_new = add_simultaneous(suspect.known, simultaneous);
+		if (was_running || is_new)
 		{
-			note_change(one, now);
+			on_change(suspect, now);
 		}
 	}
 }
 
 /// \returns Whether anything was new.
-bool suspect_list::note_together(suspicion& known, const std::vector<process_life>& lives) const
+bool suspect_list::add_simultaneous(suspicion& known, const std::vector<process_life>& lives) const
 {
 	bool is_new = false;
 	for (const auto life : lives)
@@ -160,34 +164,34 @@
 	return is_new;
 }
 
-void suspect_list::add_end(suspicion& to, process_life life, const std::set<process_life>& together) const
+void suspect_list::add_end(suspicion& to, process_life life, const std::set<process_life>& simultaneous) const
 {
 	auto& kept = to.ended[life];
-	kept.insert(together.begin(), together.end());
-	keep_smallest(kept, tuning_.most_together);
-	keep_smallest(to.ended, tuning_.most_lives);
+	kept.insert(simultaneous.begin(), simultaneous.end());
+	keep_smallest(kept, tuning_.max_simultaneous);
+	keep_smallest(to.ended, tuning_.max_processes);
 }
 
 void suspect_list::retract(process_life life)
 {
-	for (auto one = suspects_.begin(); one != suspects_.end();)
+	for (auto suspect = suspects_.begin(); suspect != suspects_.end();)
 	{
-		const bool was_presumed = one->second.presumed.erase(life) > 0;
-		const bool is_clear = one->second.presumed.empty() && one->second.known.ended.empty();
-		one = was_presumed && is_clear ? suspects_.erase(one) : std::next(one);
+		const bool was_presumed = suspect->second.presumed.erase(life) > 0;
+		const bool is_clear = suspect->second.presumed.empty() && suspect->second.known.ended.empty();
+		suspect = was_presumed && is_clear ? suspects_.erase(suspect) : std::next(suspect);
 	}
 }
 
 void suspect_list::note_survived(const request_key& key, process_life life, instant now)
 {
 	const auto found = suspects_.find(key);
-	if (found == suspects_.end() || found->second.known.survived.size() >= tuning_.most_lives)
+	if (found == suspects_.end() || found->second.known.survived.size() >= tuning_.max_processes)
 	{
 		return;
 	}
 	if (found->second.known.survived.insert(life).second)
 	{
-		note_change(found->second, now);
+		on_change(found->second, now);
 	}
 }
 
@@ -197,12 +201,12 @@
 	{
 		return;
 	}
-	auto& one = entry_of(told.key, last_end);
-	if (take(one.known, told))
+	auto& suspect = find_or_add(told.key, last_end);
+	if (merge_evidence(suspect.known, told))
 	{
-		note_change(one, now);
+		on_change(suspect, now);
 	}
-	make_room();
+	enforce_max_suspects();
 }
 
 void suspect_list::note_stored(const suspicion& stored, instant last_end, instant now)
@@ -211,76 +215,77 @@
 	const auto found = suspects_.find(stored.key);
 	if (found != suspects_.end())
 	{
-		static_cast<void>(take(found->second.stored, stored));
+		static_cast<void>(merge_evidence(found->second.stored, stored));
 	}
 }
 
 /// \returns Whether anything was new.
-bool suspect_list::take(suspicion& into, const suspicion& from) const
+bool suspect_list::merge_evidence(suspicion& into, const suspicion& from) const
 {
 	const auto before = into;
-	for (const auto& [life, together] : from.ended)
+	for (const auto& [life, simultaneous] : from.ended)
 	{
-		add_end(into, life, together);
+		add_end(into, life, simultaneous);
 	}
 	into.survived.insert(from.survived.begin(), from.survived.end());
-	keep_smallest(into.survived, tuning_.most_lives);
+	keep_smallest(into.survived, tuning_.max_processes);
 	return into != before;
 }
 
-void suspect_list::note_change(entry& one, instant now)
+void suspect_list::on_change(entry& suspect, instant now)
 {
-	one.changed_at = now;
-	const bool holds = is_enough(one.known, 0);
-	if (holds && !one.is_told_held)
+	suspect.changed_at = now;
+	const bool is_quarantined_now = exceeds_threshold(suspect.known, 0);
+	if (is_quarantined_now && !suspect.is_quarantine_reported)
 	{
-		held_(one.known, weight_of(one.known));
+		on_quarantine_(suspect.known, weight_of(suspect.known));
 	}
-	one.is_told_held = holds;
+	suspect.is_quarantine_reported = is_quarantined_now;
 }
 
 std::vector<suspicion> suspect_list::news(std::size_t least_ended, instant now) const
 {
 	std::vector<const entry*> found;
-	for (const auto& [key, one] : suspects_)
+	for (const auto& [key, suspect] : suspects_)
 	{
-		if (one.known.ended.size() >= std::max<std::size_t>(1, least_ended) &&
-			now - one.changed_at <= tuning_.news_time)
+		if (suspect.known.ended.size() >= std::max<std::size_t>(1, least_ended) &&
+			now - suspect.changed_at <= tuning_.report_time)
 		{
-			found.push_back(&one);
+			found.push_back(&suspect);
 		}
 	}
 	std::stable_sort(found.begin(), found.end(),
 		[](const entry* a, const entry* b) { return a->known.ended.size() > b->known.ended.size(); });
-	found.resize(std::min(found.size(), tuning_.most_told));
+	found.resize(std::min(found.size(), tuning_.max_reported));
 	std::vector<suspicion> told;
 	told.reserve(found.size());
-	for (const auto* one : found)
+	for (const auto* suspect : found)
 	{
-		told.push_back(one->known);
+		told.push_back(suspect->known);
 	}
 	return told;
 }
 
 std::vector<suspicion> suspect_list::unstored(bool for_others, instant now) const
 {
-	std::vector<suspicion> several;
-	std::vector<suspicion> singles;
-	for (const auto& [key, one] : suspects_)
+	std::vector<suspicion> result;
+	std::vector<suspicion> single_exits;
+	for (const auto& [key, suspect] : suspects_)
 	{
-		auto all = one.stored;
-		if (!is_worth_storing(one, for_others) || find(key, now) == nullptr || !take(all, one.known))
+		auto all = suspect.stored;
+		if (!is_worth_storing(suspect, for_others) || find(key, now) == nullptr ||
+			!merge_evidence(all, suspect.known))
 		{
 			continue;
 		}
-		const bool is_single = weight_of(one.known) < tuning_.weight_to_store;
-		(is_single ? singles : several).push_back(std::move(all));
+		const bool is_single_exit = weight_of(suspect.known) < tuning_.direct_store_weight;
+		(is_single_exit ? single_exits : result).push_back(std::move(all));
 	}
-	if (singles.size() <= tuning_.most_singles_stored)
+	if (single_exits.size() <= tuning_.max_singles_stored)
 	{
-		several.insert(several.end(), singles.begin(), singles.end());
+		result.insert(result.end(), single_exits.begin(), single_exits.end());
 	}
-	return several;
+	return result;
 }
 
 std::optional<instant> suspect_list::last_end(const request_key& key) const
@@ -295,23 +300,23 @@
 		suspects_.begin(), suspects_.end(), [&](const auto& entry) { return is_held(entry.first, now); }));
 }
 
-void suspect_list::drop_old(instant now)
+void suspect_list::drop_expired(instant now)
 {
 	std::erase_if(
 		suspects_, [&](const auto& entry) { return now - entry.second.last_end > tuning_.lifetime; });
 }
 
-void suspect_list::make_room()
+void suspect_list::enforce_max_suspects()
 {
-	while (suspects_.size() > tuning_.most_suspects)
+	while (suspects_.size() > tuning_.max_suspects)
 	{
-		const auto least = std::min_element(suspects_.begin(), suspects_.end(),
+		const auto weakest = std::min_element(suspects_.begin(), suspects_.end(),
 			[](const auto& a, const auto& b)
 			{
 				return std::pair{a.second.known.ended.size(), a.second.last_end} <
 					   std::pair{b.second.known.ended.size(), b.second.last_end};
 			});
-		suspects_.erase(least);
+		suspects_.erase(weakest);
 	}
 }
 } // namespace gingerdyke::quarantine
--- a/tests/quarantine/replica_runs.cpp
+++ b/tests/quarantine/replica_runs.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Which requests stood on a replica when it ended, and which life of it that was.
+// Which requests were running on a replica when its process exited, and the identity of the process.
 #include <catch2/catch.hpp>
 #include <gingerdyke/quarantine/replica_runs.hpp>
 
@@ -14,7 +14,7 @@
 const request_key second{"second"};
 const instant start{seconds{1000}};
 
-routing::replica replica(std::int64_t incarnation = 0)
+routing::replica make_replica(std::int64_t incarnation = 0)
 {
 	routing::replica made;
 	made.id = replica_id{"r"};
@@ -23,85 +23,85 @@
 }
 } // namespace
 
-TEST_CASE("a run that was given up a moment ago still stands on its replica, one that was answered does not",
-	"[quarantine]")
+TEST_CASE("a recently abandoned run still counts as running, a completed one does not", "[quarantine]")
 {
 	replica_runs runs;
-	const auto given_up = runs.begin(replica(), first, start);
-	const auto answered = runs.begin(replica(), second, start);
-	runs.end(replica(), given_up, run_end::given_up, start);
-	runs.end(replica(), answered, run_end::survived, start);
-	CHECK(runs.running_at(replica(), start + milliseconds{900}) == std::vector{first});
-	CHECK(runs.running_at(replica(), start + milliseconds{1100}).empty());
+	const auto given_up = runs.begin(make_replica(), first, start);
+	const auto answered = runs.begin(make_replica(), second, start);
+	runs.end(make_replica(), given_up, run_end::given_up, start);
+	runs.end(make_replica(), answered, run_end::survived, start);
+	CHECK(runs.running_at(make_replica(), start + milliseconds{900}) == std::vector{first});
+	CHECK(runs.running_at(make_replica(), start + milliseconds{1100}).empty());
 }
 
-TEST_CASE("two attempts of one request on a replica are named once", "[quarantine]")
+TEST_CASE("two attempts of a request on one replica are reported once", "[quarantine]")
 {
 	replica_runs runs;
-	runs.end(replica(), runs.begin(replica(), first, start), run_end::given_up, start);
-	static_cast<void>(runs.begin(replica(), first, start));
-	CHECK(runs.running_at(replica(), start) == std::vector{first});
+	runs.end(make_replica(), runs.begin(make_replica(), first, start), run_end::given_up, start);
+	static_cast<void>(runs.begin(make_replica(), first, start));
+	CHECK(runs.running_at(make_replica(), start) == std::vector{first});
 }
 
-TEST_CASE(
-	"an end is told once, and a replica that takes a connection begun later has a new life", "[quarantine]")
+TEST_CASE("an exit is reported once, and accepting a later connection means a new process", "[quarantine]")
 {
 	replica_runs runs;
-	static_cast<void>(runs.begin(replica(), first, start));
-	const auto life = runs.life_of(replica());
-	CHECK(runs.note_ended(replica(), start));
-	CHECK(runs.life_of(replica()) == life);
-	CHECK_FALSE(runs.note_ended(replica(), start));
-	// The ended process may have taken it.
-	runs.note_connected(replica(), start - milliseconds{1});
-	CHECK(runs.has_ended(replica()));
-	runs.note_connected(replica(), start + milliseconds{1});
-	CHECK_FALSE(runs.has_ended(replica()));
-	CHECK(runs.life_of(replica()) != life);
-	CHECK(runs.note_ended(replica(), start + milliseconds{2}));
+	static_cast<void>(runs.begin(make_replica(), first, start));
+	const auto life = runs.life_of(make_replica());
+	CHECK(runs.note_ended(make_replica(), start));
+	CHECK(runs.life_of(make_replica()) == life);
+	CHECK_FALSE(runs.note_ended(make_replica(), start));
+	// The exited process may have accepted this connection.
+	runs.note_connected(make_replica(), start - milliseconds{1});
+	CHECK(runs.has_ended(make_replica()));
+	runs.note_connected(make_replica(), start + milliseconds{1});
+	CHECK_FALSE(runs.has_ended(make_replica()));
+	CHECK(runs.life_of(make_replica()) != life);
+	CHECK(runs.note_ended(make_replica(), start + milliseconds{2}));
 }
 
-TEST_CASE("what ran when a process ended does not stand beside the end of the next one", "[quarantine]")
+TEST_CASE("requests that ran in a previous process are not running in the next one", "[quarantine]")
 {
 	replica_runs runs;
-	const auto before = runs.begin(replica(), first, start);
-	CHECK(runs.note_ended(replica(), start));
-	runs.end(replica(), before, run_end::given_up, start);
-	static_cast<void>(runs.begin(replica(), second, start + milliseconds{1}));
-	runs.note_connected(replica(), start + milliseconds{1});
-	CHECK(runs.running_at(replica(), start + milliseconds{2}) == std::vector{second});
+	const auto run = runs.begin(make_replica(), first, start);
+	CHECK(runs.note_ended(make_replica(), start));
+	runs.end(make_replica(), run, run_end::given_up, start);
+	static_cast<void>(runs.begin(make_replica(), second, start + milliseconds{1}));
+	runs.note_connected(make_replica(), start + milliseconds{1});
+	CHECK(runs.running_at(make_replica(), start + milliseconds{2}) == std::vector{second});
 }
 
-TEST_CASE("a run that the next process took under the old entry counts until it is over", "[quarantine]")
+TEST_CASE("a run that was sent under a removed entry counts until it ends", "[quarantine]")
 {
 	replica_runs runs;
-	const auto run = runs.begin(replica(1), first, start);
+	const auto run = runs.begin(make_replica(1), first, start);
 	runs.release(replica_id{"r"}, start);
-	CHECK(runs.running_at(replica(1), start) == std::vector{first});
-	CHECK(runs.note_ended(replica(1), start));
-	runs.end(replica(1), run, run_end::given_up, start);
+	CHECK(runs.running_at(make_replica(1), start) == std::vector{first});
+	CHECK(runs.note_ended(make_replica(1), start));
+	runs.end(make_replica(1), run, run_end::given_up, start);
 	runs.release(replica_id{"other"}, start);
-	CHECK_FALSE(runs.has_ended(replica(1)));
-	CHECK_FALSE(runs.note_ended(replica(1), start));
+	CHECK_FALSE(runs.has_ended(make_replica(1)));
+	CHECK_FALSE(runs.note_ended(make_replica(1), start));
 }
 
-TEST_CASE("runs of a process that started again under its id are another's", "[quarantine]")
+TEST_CASE(
+	"runs of a restarted replica are tracked separately from those of its previous process", "[quarantine]")
 {
 	replica_runs runs;
-	const auto old_run = runs.begin(replica(1), first, start);
-	const auto new_run = runs.begin(replica(2), second, start);
-	CHECK(runs.life_of(replica(1)) != runs.life_of(replica(2)));
-	runs.end(replica(1), old_run, run_end::given_up, start);
-	CHECK(runs.running_at(replica(2), start) == std::vector{second});
-	CHECK(runs.running_at(replica(1), start) == std::vector{first});
-	CHECK(runs.note_ended(replica(1), start));
-	CHECK_FALSE(runs.has_ended(replica(2)));
-	CHECK(runs.running_at(replica(2), start) == std::vector{second});
-	runs.end(replica(2), new_run, run_end::over, start);
-	CHECK(runs.running_at(replica(2), start).empty());
+	const auto old_run = runs.begin(make_replica(1), first, start);
+	const auto new_run = runs.begin(make_replica(2), second, start);
+	CHECK(runs.life_of(make_replica(1)) != runs.life_of(make_replica(2)));
+	runs.end(make_replica(1), old_run, run_end::given_up, start);
+	CHECK(runs.running_at(make_replica(2), start) == std::vector{second});
+	CHECK(runs.running_at(make_replica(1), start) == std::vector{first});
+	CHECK(runs.note_ended(make_replica(1), start));
+	CHECK_FALSE(runs.has_ended(make_replica(2)));
+	CHECK(runs.running_at(make_replica(2), start) == std::vector{second});
+	runs.end(make_replica(2), new_run, run_end::over, start);
+	CHECK(runs.running_at(make_replica(2), start).empty());
 }
 
-TEST_CASE("a request's key depends on each part of its content, and on where one part ends", "[quarantine]")
+TEST_CASE(
+	"a request's key depends on each part of its content and on the boundaries between parts", "[quarantine]")
 {
 	const request_content content{"POST", "h", "/a", "w", "body"};
 	CHECK(key_of(content) == key_of({"POST", "h", "/a", "w", "body"}));
--- a/tests/quarantine/suspect_list.cpp
+++ b/tests/quarantine/suspect_list.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// When a request is held back for the replicas that ended under it, and when it is not.
+// When a request is quarantined because replicas exited while running it, and when it is not.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <gingerdyke/base/random.hpp>
@@ -22,10 +22,10 @@
 	return process_life{number};
 }
 
-/// A list with the requests that it was told to hold back.
-struct listed
+/// A list, and the requests that it reported as quarantined.
+struct suspect_fixture
 {
-	void end(
+	void exit_process(
 		int number, const std::vector<request_key>& requests, const std::vector<process_life>& together = {})
 	{
 		list.presume(life(number), requests, start);
@@ -36,7 +36,7 @@
 	suspect_list list{[this](const suspicion& one, double) { held.push_back(one); }};
 };
 
-suspicion seen(const request_key& key, const std::set<process_life>& ended)
+suspicion make_suspicion(const request_key& key, const std::set<process_life>& ended)
 {
 	suspicion made;
 	made.key = key;
@@ -47,10 +47,10 @@
 	return made;
 }
 
-std::set<process_life> lives_ended(const suspicion& of)
+std::set<process_life> exited_processes(const suspicion& from)
 {
 	std::set<process_life> lives;
-	for (const auto& [life, together] : of.ended)
+	for (const auto& [life, together] : from.ended)
 	{
 		lives.insert(life);
 	}
@@ -58,131 +58,131 @@
 }
 } // namespace
 
-TEST_CASE("a request is held back after the third end and not before, and let in again after a time",
-	"[quarantine]")
+TEST_CASE(
+	"a request is quarantined after the third exit and not before, and released after a time", "[quarantine]")
 {
-	listed of;
-	of.end(1, {cause, bystander});
-	of.end(2, {cause});
-	CHECK(of.list.last_end(cause));
-	CHECK_FALSE(of.list.is_held(cause, start));
-	of.end(3, {cause});
-	CHECK(of.list.is_held(cause, start));
-	CHECK_FALSE(of.list.is_held(bystander, start));
-	REQUIRE(of.held.size() == 1);
-	CHECK(of.held.front().key == cause);
-	CHECK(of.list.is_held(cause, start + minutes{9}));
-	CHECK_FALSE(of.list.is_held(cause, start + minutes{11}));
+	suspect_fixture fixture;
+	fixture.exit_process(1, {cause, bystander});
+	fixture.exit_process(2, {cause});
+	CHECK(fixture.list.last_end(cause));
+	CHECK_FALSE(fixture.list.is_held(cause, start));
+	fixture.exit_process(3, {cause});
+	CHECK(fixture.list.is_held(cause, start));
+	CHECK_FALSE(fixture.list.is_held(bystander, start));
+	REQUIRE(fixture.held.size() == 1);
+	CHECK(fixture.held.front().key == cause);
+	CHECK(fixture.list.is_held(cause, start + minutes{9}));
+	CHECK_FALSE(fixture.list.is_held(cause, start + minutes{11}));
 }
 
-TEST_CASE("one replica's end counts once, however often it is told", "[quarantine]")
+TEST_CASE("an exit counts once, however often it is reported", "[quarantine]")
 {
-	listed of;
+	suspect_fixture fixture;
 	for (int i = 0; i < 5; ++i)
 	{
-		of.end(1, {cause});
-		of.list.merge(seen(cause, {life(1), life(2)}), start, start);
+		fixture.exit_process(1, {cause});
+		fixture.list.merge(make_suspicion(cause, {life(1), life(2)}), start, start);
 	}
-	CHECK_FALSE(of.list.is_held(cause, start));
+	CHECK_FALSE(fixture.list.is_held(cause, start));
 }
 
-TEST_CASE("an end that is only likely leaves it open whether a request is held back", "[quarantine]")
+TEST_CASE("a presumed exit leaves undecided whether a request is quarantined", "[quarantine]")
 {
-	listed of;
-	of.end(1, {cause});
-	of.end(2, {cause});
-	CHECK_FALSE(of.list.is_open(cause, start));
-	of.list.presume(life(3), {cause}, start);
-	CHECK(of.list.is_open(cause, start));
-	CHECK_FALSE(of.list.is_held(cause, start));
-	of.list.retract(life(3));
-	CHECK_FALSE(of.list.is_open(cause, start));
-	CHECK_FALSE(of.list.is_held(cause, start));
-	of.list.presume(life(5), {cause}, start);
-	of.list.confirm(life(5), {}, start);
-	CHECK_FALSE(of.list.is_open(cause, start));
-	CHECK(of.list.is_held(cause, start));
-	of.held.clear();
-	CHECK(of.held.empty());
-	of.list.presume(life(4), {bystander}, start);
-	of.list.retract(life(4));
-	CHECK(of.list.size() == 1);
+	suspect_fixture fixture;
+	fixture.exit_process(1, {cause});
+	fixture.exit_process(2, {cause});
+	CHECK_FALSE(fixture.list.is_open(cause, start));
+	fixture.list.presume(life(3), {cause}, start);
+	CHECK(fixture.list.is_open(cause, start));
+	CHECK_FALSE(fixture.list.is_held(cause, start));
+	fixture.list.retract(life(3));
+	CHECK_FALSE(fixture.list.is_open(cause, start));
+	CHECK_FALSE(fixture.list.is_held(cause, start));
+	fixture.list.presume(life(5), {cause}, start);
+	fixture.list.confirm(life(5), {}, start);
+	CHECK_FALSE(fixture.list.is_open(cause, start));
+	CHECK(fixture.list.is_held(cause, start));
+	fixture.held.clear();
+	CHECK(fixture.held.empty());
+	fixture.list.presume(life(4), {bystander}, start);
+	fixture.list.retract(life(4));
+	CHECK(fixture.list.size() == 1);
 }
 
-TEST_CASE("replicas that end together have a cause in common: a request beside them is still served",
-	"[quarantine]")
+TEST_CASE("a request that was running during simultaneous unrelated exits is still served", "[quarantine]")
 {
-	listed of;
-	// The first is known before the others of the same loss.
-	of.end(1, {bystander});
-	of.end(2, {bystander}, {life(1), life(2), life(21), life(22)});
-	// Beside the next losses as well, and still.
+	suspect_fixture fixture;
+	// The first exit is confirmed before the others of the same loss are known.
+	fixture.exit_process(1, {bystander});
+	fixture.exit_process(2, {bystander}, {life(1), life(2), life(21), life(22)});
+	// It was also running during the next losses, and is still served.
 	for (int number = 3; number <= 5; ++number)
 	{
-		of.end(number, {bystander}, {life(number), life(20 + number), life(30 + number)});
-		CHECK_FALSE(of.list.is_held(bystander, start));
+		fixture.exit_process(number, {bystander}, {life(number), life(20 + number), life(30 + number)});
+		CHECK_FALSE(fixture.list.is_held(bystander, start));
 	}
-	// Under an end of its own too it is not.
-	of.end(6, {bystander});
-	CHECK(of.list.is_held(bystander, start));
+	// After an isolated exit it is quarantined.
+	fixture.exit_process(6, {bystander});
+	CHECK(fixture.list.is_held(bystander, start));
 }
 
-TEST_CASE("a request that stands beside all of the replicas that end together is their cause", "[quarantine]")
+TEST_CASE(
+	"a request that was running on all replicas that exit simultaneously is quarantined", "[quarantine]")
 {
-	listed of;
-	of.end(1, {cause});
-	of.end(2, {cause});
-	of.end(3, {cause}, {life(1), life(2), life(3), life(4)});
-	CHECK(of.list.is_held(cause, start));
+	suspect_fixture fixture;
+	fixture.exit_process(1, {cause});
+	fixture.exit_process(2, {cause});
+	fixture.exit_process(3, {cause}, {life(1), life(2), life(3), life(4)});
+	CHECK(fixture.list.is_held(cause, start));
 }
 
-// Three VMs send the request to a replica each at the same moment. Each of them sees three replicas end, and
-// the request at one of them. So each end counted half: the line "request held back" named 6 ends, 6 of them
-// together with others, where 3 were to do.
-TEST_CASE(
-	"ends at the same moment that several VMs caused by one request are no loss in common", "[quarantine]")
+// Guards against counting exits as unrelated although one request caused them at several VMs: three VMs
+// send it to a replica each at the same moment. Each VM sees three exits but knows of the request at one
+// replica only, so every exit had half weight and 6 exits instead of 3 were needed for quarantine.
+TEST_CASE("simultaneous exits that one request caused at several VMs have full weight", "[quarantine]")
 {
 	const std::vector<process_life> all{life(1), life(2), life(3)};
-	listed one;
-	listed two;
-	listed three;
-	one.end(1, {cause, bystander}, all);
-	two.end(2, {cause}, all);
-	three.end(3, {cause}, all);
+	suspect_fixture one;
+	suspect_fixture two;
+	suspect_fixture three;
+	one.exit_process(1, {cause, bystander}, all);
+	two.exit_process(2, {cause}, all);
+	three.exit_process(3, {cause}, all);
 	for (const auto* other : {&two, &three})
 	{
-		for (const auto& told : other->list.news(1, start))
+		for (const auto& reported : other->list.news(1, start))
 		{
-			one.list.merge(told, start, start);
+			one.list.merge(reported, start, start);
 		}
 	}
 	CHECK(one.list.is_held(cause, start));
 	CHECK_FALSE(one.list.is_held(bystander, start));
 }
 
-TEST_CASE("a popular request that is answered between ends is not held back", "[quarantine]")
+TEST_CASE("a popular request that is completed between exits is not quarantined", "[quarantine]")
 {
-	listed of;
+	suspect_fixture fixture;
 	for (int number = 1; number <= 8; ++number)
 	{
-		of.end(number, {bystander, cause});
-		of.list.note_survived(bystander, life(100 + number), start);
+		fixture.exit_process(number, {bystander, cause});
+		fixture.list.note_survived(bystander, life(100 + number), start);
 	}
-	CHECK(of.list.is_held(cause, start));
-	CHECK_FALSE(of.list.is_held(bystander, start));
+	CHECK(fixture.list.is_held(cause, start));
+	CHECK_FALSE(fixture.list.is_held(bystander, start));
 }
 
-TEST_CASE("reports add up to the same in any order, repeated or not", "[quarantine]")
+TEST_CASE("merged reports do not depend on order and repetition", "[quarantine]")
 {
-	std::vector<suspicion> reports{seen(cause, {life(1)}), seen(cause, {life(2)}),
-		seen(cause, {life(1), life(3)}), seen(bystander, {life(1)}), seen(bystander, {life(4)})};
+	std::vector<suspicion> reports{make_suspicion(cause, {life(1)}), make_suspicion(cause, {life(2)}),
+		make_suspicion(cause, {life(1), life(3)}), make_suspicion(bystander, {life(1)}),
+		make_suspicion(bystander, {life(4)})};
 	reports.push_back({cause, {{life(1), {life(2), life(21)}}, {life(2), {}}}, {life(9)}});
 	reports.push_back({cause, {{life(1), {life(22)}}}, {}});
 	reports.push_back({cause, {{life(5), {}}}, {}});
 	for (std::uint64_t seed = 1; seed <= 200; ++seed)
 	{
 		seeded_random random{seed};
-		listed one;
+		suspect_fixture one;
 		for (int i = 0; i < 40; ++i)
 		{
 			one.list.merge(reports[random_below(random, reports.size())], start, start);
@@ -191,90 +191,96 @@
 		{
 			one.list.merge(report, start, start);
 		}
-		const auto told = one.list.news(1, start);
-		REQUIRE(told.size() == 2);
-		const auto& first = told.front();
+		const auto reported = one.list.news(1, start);
+		REQUIRE(reported.size() == 2);
+		const auto& first = reported.front();
 		CHECK(first.key == cause);
-		CHECK(lives_ended(first) == std::set{life(1), life(2), life(3), life(5)});
+		CHECK(exited_processes(first) == std::set{life(1), life(2), life(3), life(5)});
 		CHECK(first.ended.at(life(1)) == std::set{life(2), life(21), life(22)});
 		CHECK(first.ended.at(life(2)).empty());
 		CHECK(first.survived == std::set{life(9)});
-		CHECK(lives_ended(told.back()) == std::set{life(1), life(4)});
+		CHECK(exited_processes(reported.back()) == std::set{life(1), life(4)});
 	}
 }
 
-TEST_CASE(
-	"VMs that sum up store what is new, others only what they saw themselves of several ends", "[quarantine]")
+TEST_CASE("VMs that read the registry for others store all new evidence, others only several exits that they "
+		  "saw themselves",
+	"[quarantine]")
 {
-	listed of;
-	of.end(1, {cause});
-	CHECK(of.list.unstored(false, start).empty());
-	CHECK(of.list.unstored(true, start).size() == 1);
-	of.list.merge(seen(bystander, {life(2), life(3)}), start, start);
-	CHECK(of.list.unstored(false, start).empty());
-	of.end(4, {cause});
-	REQUIRE(of.list.unstored(false, start).size() == 1);
-	const auto stored = of.list.unstored(false, start).front();
-	CHECK(lives_ended(stored) == std::set{life(1), life(4)});
-	of.list.note_stored(stored, start, start);
-	CHECK(of.list.unstored(false, start).empty());
-	of.list.note_stored(seen(cause, {life(7)}), start, start);
-	CHECK(of.list.is_held(cause, start));
-	CHECK(of.list.unstored(false, start).empty());
+	suspect_fixture fixture;
+	fixture.exit_process(1, {cause});
+	CHECK(fixture.list.unstored(false, start).empty());
+	CHECK(fixture.list.unstored(true, start).size() == 1);
+	fixture.list.merge(make_suspicion(bystander, {life(2), life(3)}), start, start);
+	CHECK(fixture.list.unstored(false, start).empty());
+	fixture.exit_process(4, {cause});
+	REQUIRE(fixture.list.unstored(false, start).size() == 1);
+	const auto stored = fixture.list.unstored(false, start).front();
+	CHECK(exited_processes(stored) == std::set{life(1), life(4)});
+	fixture.list.note_stored(stored, start, start);
+	CHECK(fixture.list.unstored(false, start).empty());
+	fixture.list.note_stored(make_suspicion(cause, {life(7)}), start, start);
+	CHECK(fixture.list.is_held(cause, start));
+	CHECK(fixture.list.unstored(false, start).empty());
 }
 
-TEST_CASE("what stood beside one replica of several that ended together is not stored", "[quarantine]")
+TEST_CASE("a request that was running on one of several replicas that exited simultaneously is not stored",
+	"[quarantine]")
 {
-	listed of;
-	of.end(1, {bystander}, {life(1), life(2), life(3), life(4)});
-	CHECK(of.list.unstored(true, start).empty());
-	of.end(5, {bystander});
-	CHECK(of.list.unstored(true, start).size() == 1);
+	suspect_fixture fixture;
+	fixture.exit_process(1, {bystander}, {life(1), life(2), life(3), life(4)});
+	CHECK(fixture.list.unstored(true, start).empty());
+	fixture.exit_process(5, {bystander});
+	CHECK(fixture.list.unstored(true, start).size() == 1);
 }
 
-TEST_CASE("what stood beside replicas that ended together is not stored", "[quarantine]")
+TEST_CASE("a request that was running on two of many replicas that exited simultaneously is not stored",
+	"[quarantine]")
 {
-	// Two of five and more; of two of four see the test on halves below.
-	for (int lost = 5; lost <= 20; ++lost)
+	// Two of at least five replicas; the test on two of four replicas is below.
+	for (int exit_count = 5; exit_count <= 20; ++exit_count)
 	{
-		CAPTURE(lost);
+		CAPTURE(exit_count);
 		std::vector<process_life> all;
-		for (int number = 1; number <= lost; ++number)
+		for (int number = 1; number <= exit_count; ++number)
 		{
 			all.push_back(life(number));
 		}
-		listed of;
-		of.end(1, {bystander});
-		of.end(2, {bystander}, all);
-		CHECK(of.list.unstored(true, start).empty());
-		of.end(30, {bystander});
-		CHECK(of.list.unstored(true, start).size() == 1);
+		suspect_fixture fixture;
+		fixture.exit_process(1, {bystander});
+		fixture.exit_process(2, {bystander}, all);
+		CHECK(fixture.list.unstored(true, start).empty());
+		fixture.exit_process(30, {bystander});
+		CHECK(fixture.list.unstored(true, start).size() == 1);
 	}
 }
 
-TEST_CASE("what stood beside two of four replicas is stored by the VMs that sum up only", "[quarantine]")
+TEST_CASE("a request that was running on two of four replicas is stored only by VMs that read the registry "
+		  "for others",
+	"[quarantine]")
 {
-	listed of;
-	of.end(1, {bystander});
-	of.end(2, {bystander}, {life(1), life(2), life(3), life(4)});
-	CHECK(of.list.unstored(false, start).empty());
-	CHECK(of.list.unstored(true, start).size() == 1);
-	CHECK_FALSE(of.list.is_nearly_held(bystander, start));
+	suspect_fixture fixture;
+	fixture.exit_process(1, {bystander});
+	fixture.exit_process(2, {bystander}, {life(1), life(2), life(3), life(4)});
+	CHECK(fixture.list.unstored(false, start).empty());
+	CHECK(fixture.list.unstored(true, start).size() == 1);
+	CHECK_FALSE(fixture.list.is_nearly_held(bystander, start));
 }
 
-// Four VMs of two failure domains send the request to a replica each at the same moment. Each domain knows of
-// two ends, and of two more replicas that ended without it: at half weight that was too little to store, and
-// four more replicas ended 1.2 s later.
+// Guards against losing evidence that is split between failure domains: four VMs of two failure domains
+// send the request to a replica each at the same moment. Each domain knows of two exits, and of two more
+// replicas that exited without it. At half weight that was not enough to be stored, and four more replicas
+// exited 1.2 s later.
 TEST_CASE(
-	"ends at the same moment that two failure domains know in halves are stored and add up", "[quarantine]")
+	"simultaneous exits of which two failure domains know half each are stored and merged", "[quarantine]")
 {
 	const std::vector<process_life> all{life(1), life(2), life(3), life(4)};
-	listed one;
-	listed other;
-	one.end(1, {cause, bystander}, all);
-	one.end(2, {cause}, all);
-	other.end(3, {cause}, all);
-	other.end(4, {cause}, all);
+	suspect_fixture one;
+	suspect_fixture other;
+	one.exit_process(1, {cause, bystander}, all);
+	one.exit_process(2, {cause}, all);
+	other.exit_process(3, {cause}, all);
+	other.exit_process(4, {cause}, all);
 	CHECK_FALSE(one.list.is_held(cause, start));
 	for (const auto& stored : other.list.unstored(true, start))
 	{
@@ -284,7 +290,7 @@
 	CHECK_FALSE(one.list.is_held(bystander, start));
 }
 
-TEST_CASE("reports of more ends than are kept add up to the same in any order", "[quarantine]")
+TEST_CASE("merged reports of more exits than are kept do not depend on order", "[quarantine]")
 {
 	std::vector<suspicion> reports;
 	for (int number = 1; number <= 12; ++number)
@@ -297,30 +303,30 @@
 	for (std::uint64_t seed = 1; seed <= 100; ++seed)
 	{
 		seeded_random random{seed};
-		listed one;
+		suspect_fixture one;
 		for (auto left = reports; !left.empty();)
 		{
 			const auto drawn = random_below(random, left.size());
 			one.list.merge(left[drawn], start, start);
 			left.erase(left.begin() + static_cast<std::ptrdiff_t>(drawn));
 		}
-		const auto told = one.list.news(1, start);
-		REQUIRE(told.size() == 1);
-		CHECK(all.value_or(told.front()) == told.front());
-		all = told.front();
+		const auto reported = one.list.news(1, start);
+		REQUIRE(reported.size() == 1);
+		CHECK(all.value_or(reported.front()) == reported.front());
+		all = reported.front();
 	}
-	CHECK(all->ended.size() == suspect_tuning{}.most_lives);
-	CHECK(all->ended.at(life(1)).size() == suspect_tuning{}.most_together);
+	CHECK(all->ended.size() == suspect_tuning{}.max_processes);
+	CHECK(all->ended.at(life(1)).size() == suspect_tuning{}.max_simultaneous);
 }
 
-TEST_CASE("two VMs that know more ends than are kept do not store them in turn for ever", "[quarantine]")
+TEST_CASE("two VMs that know more exits than are kept do not keep overwriting each other", "[quarantine]")
 {
-	listed a;
-	listed b;
+	suspect_fixture a;
+	suspect_fixture b;
 	for (int number = 1; number <= 10; ++number)
 	{
-		a.end(number, {cause});
-		b.end(100 + number, {cause});
+		a.exit_process(number, {cause});
+		b.exit_process(100 + number, {cause});
 	}
 	int writes = 0;
 	for (int round = 0; round < 20; ++round)
@@ -339,23 +345,23 @@
 }
 
 TEST_CASE(
-	"after a mass loss requests beside one end are neither told nor kept without a bound", "[quarantine]")
+	"after a mass loss the requests with one exit that are kept and reported are limited", "[quarantine]")
 {
-	listed of;
+	suspect_fixture fixture;
 	constexpr int count = 3000;
-	std::vector<request_key> many;
-	many.reserve(count);
+	std::vector<request_key> requests;
+	requests.reserve(count);
 	for (int i = 0; i < count; ++i)
 	{
-		many.emplace_back("r" + std::to_string(i));
+		requests.emplace_back("r" + std::to_string(i));
 	}
-	of.end(1, {cause});
-	of.end(2, {cause});
-	of.end(3, many);
-	CHECK(of.list.size() == suspect_tuning{}.most_suspects);
-	CHECK(of.list.last_end(cause));
-	CHECK(of.list.news(1, start).size() == suspect_tuning{}.most_told);
-	CHECK(of.list.news(1, start).front().key == cause);
-	CHECK(of.list.unstored(true, start).size() == 1);
-	CHECK(of.list.news(1, start + seconds{5}).empty());
+	fixture.exit_process(1, {cause});
+	fixture.exit_process(2, {cause});
+	fixture.exit_process(3, requests);
+	CHECK(fixture.list.size() == suspect_tuning{}.max_suspects);
+	CHECK(fixture.list.last_end(cause));
+	CHECK(fixture.list.news(1, start).size() == suspect_tuning{}.max_reported);
+	CHECK(fixture.list.news(1, start).front().key == cause);
+	CHECK(fixture.list.unstored(true, start).size() == 1);
+	CHECK(fixture.list.news(1, start + seconds{5}).empty());
 }
