--- a/include/gingerdyke/control/peer_report.hpp
+++ b/include/gingerdyke/control/peer_report.hpp
@@ -32,7 +32,7 @@
 	std::vector<quarantine::suspicion> suspects;
 
 	/// What it heard itself of limits that replicas name.
-	std::vector<routing::limit_news> limits;
+	std::vector<routing::limit_update> limits;
 };
 
 /// \brief What a VM knows of all the others that report to it.
@@ -49,6 +49,6 @@
 
 	/// What it and the VMs that report to it, other than the one that is told, heard of limits that replicas
 	/// name.
-	std::vector<routing::limit_news> limits;
+	std::vector<routing::limit_update> limits;
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/report_board.hpp
+++ b/include/gingerdyke/control/report_board.hpp
@@ -26,7 +26,7 @@
 	void take(const std::string& reporter, std::vector<routing::replica_work> work, instant now);
 
 	/// \brief Takes what a VM heard of replicas' limits in place of what it told last.
-	void take_limits(const std::string& reporter, std::vector<routing::limit_news> limits, instant now);
+	void take_limits(const std::string& reporter, std::vector<routing::limit_update> limits, instant now);
 
 	/// \brief Sums up the open work of all VMs with a report that still counts, but one.
 	/// \param reporter The VM that is left out; it knows its own work better.
@@ -34,12 +34,13 @@
 
 	/// \brief What all VMs with a report that still counts, but one, heard of replicas' limits, as old as it
 	/// is now.
-	[[nodiscard]] std::vector<routing::limit_news> limits_of_others(const std::string& reporter, instant now);
+	[[nodiscard]] std::vector<routing::limit_update> limits_of_others(
+		const std::string& reporter, instant now);
 
   private:
 	struct kept_limits
 	{
-		std::vector<routing::limit_news> limits;
+		std::vector<routing::limit_update> limits;
 		instant at;
 	};
 
--- a/include/gingerdyke/routing/announced_limits.hpp
+++ b/include/gingerdyke/routing/announced_limits.hpp
@@ -14,7 +14,7 @@
 namespace gingerdyke::routing
 {
 /// \brief The rate limit that one response of a replica carries.
-struct limit_statement
+struct limit_announcement
 {
 	/// Requests per second that the replica accepts from all VMs together; none: the response carries no
 	/// limit.
@@ -28,7 +28,7 @@
 };
 
 /// \brief What a VM has learned about a replica's limit, as it reports it to other VMs.
-struct limit_news
+struct limit_update
 {
 	replica_id replica;
 	replica_incarnation incarnation;
@@ -44,9 +44,9 @@
 /// \brief How a replica's limit changed.
 enum class limit_change
 {
-	named,
+	announced,
 	changed,
-	over,
+	removed,
 };
 
 /// \brief Returns the name of a change, as logged.
@@ -91,19 +91,19 @@
 {
   public:
 	/// \brief Called when a replica's limit changes, with the response that changed it.
-	using change_hook = std::function<void(const replica&, limit_change, const limit_statement&)>;
+	using change_hook = std::function<void(const replica&, limit_change, const limit_announcement&)>;
 
 	/// \param vms List of the VMs that send to the replicas; must outlive this object.
 	announced_limits(const fleet_list& vms, change_hook changed, announced_limits_tuning tuning = {});
 
 	/// \brief Applies what a replica's response says about its limit.
-	void note_answer(const replica& sender, const limit_statement& announcement, instant now);
+	void note_answer(const replica& sender, const limit_announcement& announcement, instant now);
 
 	/// \brief Applies what another VM has learned about a replica's limit.
-	void note_elsewhere(const replica& target, const limit_news& update, instant now);
+	void apply_peer_update(const replica& target, const limit_update& update, instant now);
 
 	/// \brief Returns what this VM itself recently received, for other VMs.
-	[[nodiscard]] std::vector<limit_news> own_news(instant now) const;
+	[[nodiscard]] std::vector<limit_update> local_updates(instant now) const;
 
 	/// \brief Drops the state of a replica that is gone or has restarted.
 	void forget(const replica_id& id);
@@ -119,7 +119,7 @@
 
 	/// \brief Time until this VM may send a request to one of the limited replicas of a service; none: none
 	/// of them is limited.
-	[[nodiscard]] std::optional<duration> time_until_share(const service_id& service, instant now) const;
+	[[nodiscard]] std::optional<duration> time_until_allowed(const service_id& service, instant now) const;
 
 	/// \brief Number of replicas that announce a limit.
 	[[nodiscard]] std::size_t size() const noexcept { return states_.size(); }
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -71,7 +71,7 @@
 	const auto& versions = gateway_.versions();
 	const auto now = proxy::steady_now();
 	return peer_report{reporter_, gateway_.selector().open_work(), versions.own_evidence(),
-		versions.suspensions(), gateway_.suspects().news(1, now), gateway_.announced().own_news(now)};
+		versions.suspensions(), gateway_.suspects().news(1, now), gateway_.announced().local_updates(now)};
 }
 
 void coordinator::on_report(const peer_report& report)
@@ -97,7 +97,7 @@
 {
 	const auto now = proxy::steady_now();
 	board_.take(reporter_, gateway_.selector().open_work(), now);
-	board_.take_limits(reporter_, gateway_.announced().own_news(now), now);
+	board_.take_limits(reporter_, gateway_.announced().local_updates(now), now);
 	// What stood beside one end only is for the VMs that sum up.
 	constexpr std::size_t least_ended = 2;
 	return {board_.work_of_others(reporter, now), gateway_.versions().suspensions(),
@@ -112,14 +112,14 @@
 	take_limits(summary.limits);
 }
 
-void coordinator::take_limits(const std::vector<routing::limit_news>& limits)
+void coordinator::take_limits(const std::vector<routing::limit_update>& limits)
 {
 	const auto now = proxy::steady_now();
 	for (const auto& heard : limits)
 	{
 		if (const auto of = gateway_.replicas().find(heard.replica))
 		{
-			gateway_.announced().note_elsewhere(*of, heard, now);
+			gateway_.announced().apply_peer_update(*of, heard, now);
 		}
 	}
 }
--- a/src/control/report_board.cpp
+++ b/src/control/report_board.cpp
@@ -34,7 +34,7 @@
 }
 
 void report_board::take_limits(
-	const std::string& reporter, std::vector<routing::limit_news> limits, instant now)
+	const std::string& reporter, std::vector<routing::limit_update> limits, instant now)
 {
 	if (limits.empty())
 	{
@@ -44,11 +44,11 @@
 	limits_by_reporter_[reporter] = {std::move(limits), now};
 }
 
-std::vector<routing::limit_news> report_board::limits_of_others(const std::string& reporter, instant now)
+std::vector<routing::limit_update> report_board::limits_of_others(const std::string& reporter, instant now)
 {
 	std::erase_if(
 		limits_by_reporter_, [&](const auto& entry) { return now - entry.second.at > tuning_.lifetime; });
-	std::vector<routing::limit_news> all;
+	std::vector<routing::limit_update> all;
 	for (const auto& [name, kept] : limits_by_reporter_)
 	{
 		if (name == reporter)
--- a/src/control/report_message.cpp
+++ b/src/control/report_message.cpp
@@ -260,7 +260,7 @@
 	}
 	return all;
 }
-std::vector<wire::RelayLimit> written(const std::vector<routing::limit_news>& limits)
+std::vector<wire::RelayLimit> written(const std::vector<routing::limit_update>& limits)
 {
 	std::vector<wire::RelayLimit> all;
 	all.reserve(limits.size());
@@ -278,9 +278,9 @@
 	return all;
 }
 
-std::vector<routing::limit_news> read(const std::vector<wire::RelayLimit>& limits)
+std::vector<routing::limit_update> read(const std::vector<wire::RelayLimit>& limits)
 {
-	std::vector<routing::limit_news> all;
+	std::vector<routing::limit_update> all;
 	all.reserve(limits.size());
 	for (const auto& one : limits)
 	{
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -29,7 +29,7 @@
 }
 
 void log_limit(
-	const routing::replica& one, routing::limit_change change, const routing::limit_statement& said)
+	const routing::replica& one, routing::limit_change change, const routing::limit_announcement& said)
 {
 	log::write(log::level::info, "replica limits its load",
 		{{"replica", one.id.str()}, {"service", one.service.str()}, {"change", routing::name_of(change)},
@@ -234,7 +234,7 @@
 		}
 	};
 	consider("replicas are cold", cold_replicas_.time_until_warm(service, now));
-	consider("replicas limit their load", announced_.time_until_share(service, now));
+	consider("replicas limit their load", announced_.time_until_allowed(service, now));
 	consider("replicas want rest", resting_.time_until_back(service, now));
 	if (first)
 	{
--- a/src/routing/announced_limits.cpp
+++ b/src/routing/announced_limits.cpp
@@ -23,11 +23,11 @@
 {
 	switch (change)
 	{
-	case limit_change::named:
+	case limit_change::announced:
 		return "named";
 	case limit_change::changed:
 		return "changed";
-	case limit_change::over:
+	case limit_change::removed:
 		return "over";
 	}
 	return "unknown";
@@ -69,7 +69,7 @@
 	return current;
 }
 
-void announced_limits::note_answer(const replica& sender, const limit_statement& announcement, instant now)
+void announced_limits::note_answer(const replica& sender, const limit_announcement& announcement, instant now)
 {
 	const auto* current = find(sender);
 	if (!announcement.requests_per_s)
@@ -78,7 +78,7 @@
 		{
 			states_.erase(sender.id);
 			removed_[sender.id] = {sender.incarnation, announcement.sent_at};
-			changed_(sender, limit_change::over, announcement);
+			changed_(sender, limit_change::removed, announcement);
 		}
 		return;
 	}
@@ -87,11 +87,11 @@
 	set_limit(sender, *announcement.requests_per_s, now, now).last_received_at = now;
 	if (is_changed)
 	{
-		changed_(sender, is_new ? limit_change::named : limit_change::changed, announcement);
+		changed_(sender, is_new ? limit_change::announced : limit_change::changed, announcement);
 	}
 }
 
-void announced_limits::note_elsewhere(const replica& target, const limit_news& update, instant now)
+void announced_limits::apply_peer_update(const replica& target, const limit_update& update, instant now)
 {
 	const auto learned_at = now - update.age;
 	const auto* current = find(target);
@@ -105,7 +105,7 @@
 		if (current != nullptr)
 		{
 			states_.erase(target.id);
-			changed_(target, limit_change::over, {{}, learned_at, {}});
+			changed_(target, limit_change::removed, {{}, learned_at, {}});
 		}
 		return;
 	}
@@ -117,7 +117,7 @@
 	static_cast<void>(set_limit(target, *update.requests_per_s, learned_at, now));
 	if (is_new)
 	{
-		changed_(target, limit_change::named, {update.requests_per_s, learned_at, {}});
+		changed_(target, limit_change::announced, {update.requests_per_s, learned_at, {}});
 	}
 }
 
@@ -128,9 +128,9 @@
 		   found->second.removed_at >= at;
 }
 
-std::vector<limit_news> announced_limits::own_news(instant now) const
+std::vector<limit_update> announced_limits::local_updates(instant now) const
 {
-	std::vector<limit_news> updates;
+	std::vector<limit_update> updates;
 	for (const auto& [id, limit] : states_)
 	{
 		if (limit.last_received_at && now - *limit.last_received_at <= tuning_.report_lifetime)
@@ -169,7 +169,7 @@
 	}
 }
 
-std::optional<duration> announced_limits::time_until_share(const service_id& service, instant now) const
+std::optional<duration> announced_limits::time_until_allowed(const service_id& service, instant now) const
 {
 	std::optional<duration> shortest;
 	for (const auto& [id, limit] : states_)
--- a/tests/control/peer_report.cpp
+++ b/tests/control/peer_report.cpp
@@ -15,7 +15,7 @@
 		{{process_life{-1}, {}}, {process_life{5}, {process_life{6}, process_life{-7}}}}, {process_life{9}}};
 }
 
-routing::limit_news limit_of(const char* replica, std::optional<double> requests_per_s, duration age)
+routing::limit_update limit_of(const char* replica, std::optional<double> requests_per_s, duration age)
 {
 	return {replica_id{replica}, routing::replica_incarnation{4}, requests_per_s, age};
 }
--- a/tests/routing/announced_limits.cpp
+++ b/tests/routing/announced_limits.cpp
@@ -15,7 +15,7 @@
 	"a limit ends when a request sent after its announcement is answered without a limit", "[routing][limit]")
 {
 	const fleet_list vms;
-	announced_limits limits{vms, [](const replica&, limit_change, const limit_statement&) {}};
+	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
 	const auto target = make_replica("r1");
 	limits.note_answer(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
 	REQUIRE(limits.is_limited(target));
@@ -29,7 +29,7 @@
 TEST_CASE("a limit does not apply to the next process with the same replica id", "[routing][limit]")
 {
 	const fleet_list vms;
-	announced_limits limits{vms, [](const replica&, limit_change, const limit_statement&) {}};
+	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
 	auto target = make_replica("r1");
 	limits.note_answer(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
 	target.incarnation = replica_incarnation{2};
@@ -41,7 +41,8 @@
 {
 	std::vector<std::string> logged;
 	const fleet_list vms;
-	announced_limits limits{vms, [&](const replica&, limit_change change, const limit_statement& announcement)
+	announced_limits limits{vms,
+		[&](const replica&, limit_change change, const limit_announcement& announcement)
 		{ logged.push_back(std::string{name_of(change)} + " " + announcement.request); }};
 	const auto target = make_replica("r1");
 	limits.note_answer(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
@@ -55,36 +56,36 @@
 	"an update from another VM that is older than the end of a limit does not restore it", "[routing][limit]")
 {
 	const fleet_list vms;
-	announced_limits limits{vms, [](const replica&, limit_change, const limit_statement&) {}};
+	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
 	const auto target = make_replica("r1");
 	limits.note_answer(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
 	limits.note_answer(target, {std::nullopt, at(milliseconds{200}), "q2"}, at(milliseconds{300}));
-	const limit_news outdated{target.id, target.incarnation, 1.5, milliseconds{200}};
-	limits.note_elsewhere(target, outdated, at(milliseconds{350}));
+	const limit_update outdated{target.id, target.incarnation, 1.5, milliseconds{200}};
+	limits.apply_peer_update(target, outdated, at(milliseconds{350}));
 	CHECK_FALSE(limits.is_limited(target));
-	const limit_news newer{target.id, target.incarnation, 1.5, milliseconds{100}};
-	limits.note_elsewhere(target, newer, at(milliseconds{350}));
+	const limit_update newer{target.id, target.incarnation, 1.5, milliseconds{100}};
+	limits.apply_peer_update(target, newer, at(milliseconds{350}));
 	CHECK(limits.is_limited(target));
 }
 
 TEST_CASE("a limit learned from another VM is not reported as received by this one", "[routing][limit]")
 {
 	const fleet_list vms;
-	announced_limits limits{vms, [](const replica&, limit_change, const limit_statement&) {}};
+	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
 	const auto target = make_replica("r1");
-	limits.note_elsewhere(
+	limits.apply_peer_update(
 		target, {target.id, target.incarnation, 1.5, milliseconds{5}}, at(milliseconds{100}));
 	REQUIRE(limits.is_limited(target));
-	CHECK(limits.own_news(at(milliseconds{100})).empty());
+	CHECK(limits.local_updates(at(milliseconds{100})).empty());
 	limits.note_answer(target, {2.0, at(milliseconds{150}), "q1"}, at(milliseconds{200}));
-	CHECK(limits.own_news(at(milliseconds{200})).size() == 1);
+	CHECK(limits.local_updates(at(milliseconds{200})).size() == 1);
 }
 
 TEST_CASE(
 	"a VM that is not yet known to the others sends nothing to a replica with a limit", "[routing][limit]")
 {
 	fleet_list vms;
-	announced_limits limits{vms, [](const replica&, limit_change, const limit_statement&) {}};
+	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
 	const auto target = make_replica("r1");
 	limits.note_answer(target, {100, at(milliseconds{0}), "q1"}, at(milliseconds{0}));
 	CHECK_FALSE(limits.takes(target, at(std::chrono::seconds{60})));
--- a/tests/routing/limited_fleet.cpp
+++ b/tests/routing/limited_fleet.cpp
@@ -38,7 +38,7 @@
 struct limited_vm
 {
 	fleet_list vms;
-	announced_limits limits{vms, [](const replica&, limit_change, const limit_statement&) {}};
+	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
 	bool is_informed{};
 };
 
@@ -83,11 +83,11 @@
 	{
 		for (std::size_t from = 0; from < vms_.size(); ++from)
 		{
-			for (const auto& update : vms_[from]->limits.own_news(now_))
+			for (const auto& update : vms_[from]->limits.local_updates(now_))
 			{
 				for (auto to = from % domains; to < vms_.size(); to += domains)
 				{
-					vms_[to]->limits.note_elsewhere(target_, update, now_);
+					vms_[to]->limits.apply_peer_update(target_, update, now_);
 				}
 			}
 		}
