--- a/include/gingerdyke/routing/announced_limits.hpp
+++ b/include/gingerdyke/routing/announced_limits.hpp
@@ -97,7 +97,7 @@
 	announced_limits(const fleet_list& vms, change_hook changed, announced_limits_tuning tuning = {});
 
 	/// \brief Applies what a replica's response says about its limit.
-	void note_answer(const replica& sender, const limit_announcement& announcement, instant now);
+	void record_response(const replica& sender, const limit_announcement& announcement, instant now);
 
 	/// \brief Applies what another VM has learned about a replica's limit.
 	void apply_peer_update(const replica& target, const limit_update& update, instant now);
@@ -112,10 +112,10 @@
 	[[nodiscard]] bool is_limited(const replica& target) const { return find(target) != nullptr; }
 
 	/// \brief Whether this VM may send a request to a replica now.
-	[[nodiscard]] bool takes(const replica& target, instant now) const;
+	[[nodiscard]] bool allows_request(const replica& target, instant now) const;
 
 	/// \brief Records a request that is sent to a replica, limited or not.
-	void note_sent(const replica& target, instant now);
+	void record_sent(const replica& target, instant now);
 
 	/// \brief Time until this VM may send a request to one of the limited replicas of a service; none: none
 	/// of them is limited.
--- a/include/gingerdyke/routing/replica_selector.hpp
+++ b/include/gingerdyke/routing/replica_selector.hpp
@@ -135,7 +135,7 @@
 	/// \brief Records a request sent to a replica. Like the functions below, it ignores calls for a replica
 	/// process that is gone or has restarted since.
 	/// \param tokens Size of the work in prompt tokens; 0 for services that are not engines.
-	void note_sent(const replica& target, double tokens);
+	void record_sent(const replica& target, double tokens);
 
 	/// \brief Records that part of the work of a request sent before is done.
 	void note_part_done(const replica& target, double tokens);
--- a/include/gingerdyke/routing/rest_periods.hpp
+++ b/include/gingerdyke/routing/rest_periods.hpp
@@ -50,17 +50,17 @@
 	/// \brief Records a response without a back-off request: if it answers a request sent after the period,
 	/// the replica accepts all requests again.
 	/// \param sent_at When the request that got this response was sent.
-	void note_answer(const replica& sender, instant sent_at);
+	void record_response(const replica& sender, instant sent_at);
 
 	/// \brief Records a request that is sent to a replica.
-	void note_sent(const replica& target, instant now);
+	void record_sent(const replica& target, instant now);
 
 	/// \brief Whether a replica is in a back-off period now.
 	[[nodiscard]] bool is_resting(const replica& target, instant now) const;
 
 	/// \brief Whether this VM may send a request to a replica now: the replica is not in a back-off period,
 	/// and the first request after one is not still waiting for its response.
-	[[nodiscard]] bool takes(const replica& target, instant now) const;
+	[[nodiscard]] bool allows_request(const replica& target, instant now) const;
 
 	/// \brief Time until the first of a service's replicas leaves its back-off period; none: none of them
 	/// is in one.
--- a/include/gingerdyke/routing/slow_start.hpp
+++ b/include/gingerdyke/routing/slow_start.hpp
@@ -70,10 +70,10 @@
 	[[nodiscard]] bool is_cold(const replica& target, instant now) const;
 
 	/// \brief Whether this VM may send a request to a replica now.
-	[[nodiscard]] bool takes(const replica& target, instant now) const;
+	[[nodiscard]] bool allows_request(const replica& target, instant now) const;
 
 	/// \brief Records a request to a replica, cold or not.
-	void note_sent(const replica& target, instant now);
+	void record_sent(const replica& target, instant now);
 
 	/// \brief Moves a recorded request to the time at which it was actually sent, after its connection had
 	/// to be established first.
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -270,7 +270,7 @@
 	attempt_->work_ahead = work_before_first_token(*to);
 	const auto weight = model_weight();
 	attempt_->work = prompt_.tokens_in * weight + prompt_.generating_work() * weight;
-	shared_.selector().note_sent(*to, attempt_->work);
+	shared_.selector().record_sent(*to, attempt_->work);
 	attempt_->connected = attempt_->link->was_used();
 	arm_attempt_timer(attempt_->connected ? first_byte_limit() : shared_.tuning().connect_limit);
 
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -254,15 +254,15 @@
 
 bool gateway::may_send(const routing::replica& to, instant now) const
 {
-	return !evacuated_.contains(to.domain) && cold_replicas_.takes(to, now) && announced_.takes(to, now) &&
-		   resting_.takes(to, now);
+	return !evacuated_.contains(to.domain) && cold_replicas_.allows_request(to, now) &&
+		   announced_.allows_request(to, now) && resting_.allows_request(to, now);
 }
 
 void gateway::note_sent(const routing::replica& to, instant now)
 {
-	cold_replicas_.note_sent(to, now);
-	announced_.note_sent(to, now);
-	resting_.note_sent(to, now);
+	cold_replicas_.record_sent(to, now);
+	announced_.record_sent(to, now);
+	resting_.record_sent(to, now);
 }
 
 std::shared_ptr<active_request> gateway::handle(request what, std::shared_ptr<answer_sink> to)
--- a/src/routing/announced_limits.cpp
+++ b/src/routing/announced_limits.cpp
@@ -69,7 +69,8 @@
 	return current;
 }
 
-void announced_limits::note_answer(const replica& sender, const limit_announcement& announcement, instant now)
+void announced_limits::record_response(
+	const replica& sender, const limit_announcement& announcement, instant now)
 {
 	const auto* current = find(sender);
 	if (!announcement.requests_per_s)
@@ -154,13 +155,13 @@
 	removed_.erase(id);
 }
 
-bool announced_limits::takes(const replica& target, instant now) const
+bool announced_limits::allows_request(const replica& target, instant now) const
 {
 	const auto* current = find(target);
 	return current == nullptr || (vms_.is_known_to_others(now) && now >= next_send_time(*current));
 }
 
-void announced_limits::note_sent(const replica& target, instant now)
+void announced_limits::record_sent(const replica& target, instant now)
 {
 	if (find(target) != nullptr)
 	{
--- a/src/routing/replica_selector.cpp
+++ b/src/routing/replica_selector.cpp
@@ -180,7 +180,7 @@
 	return response_us * (1 + open) + penalty_us;
 }
 
-void replica_selector::note_sent(const replica& target, double tokens)
+void replica_selector::record_sent(const replica& target, double tokens)
 {
 	if (auto* stats = find_current(target))
 	{
--- a/src/routing/rest_periods.cpp
+++ b/src/routing/rest_periods.cpp
@@ -33,7 +33,7 @@
 	}
 }
 
-void rest_periods::note_answer(const replica& sender, instant sent_at)
+void rest_periods::record_response(const replica& sender, instant sent_at)
 {
 	const auto* current = find(sender);
 	if (current != nullptr && sent_at >= current->until)
@@ -42,7 +42,7 @@
 	}
 }
 
-void rest_periods::note_sent(const replica& target, instant now)
+void rest_periods::record_sent(const replica& target, instant now)
 {
 	if (find(target) != nullptr && !is_resting(target, now))
 	{
@@ -56,7 +56,7 @@
 	return current != nullptr && now < current->until;
 }
 
-bool rest_periods::takes(const replica& target, instant now) const
+bool rest_periods::allows_request(const replica& target, instant now) const
 {
 	const auto* current = find(target);
 	if (current == nullptr)
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -77,7 +77,7 @@
 	return find_cold(target, now) != nullptr;
 }
 
-bool slow_start::takes(const replica& target, instant now) const
+bool slow_start::allows_request(const replica& target, instant now) const
 {
 	const auto* cold = find_cold(target, now);
 	if (cold == nullptr)
@@ -108,7 +108,7 @@
 	return target.rank.in(vms_) < limit ? 1 : 0;
 }
 
-void slow_start::note_sent(const replica& target, instant now)
+void slow_start::record_sent(const replica& target, instant now)
 {
 	const auto found = states_.find(target.id);
 	if (found == states_.end())
--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -227,7 +227,7 @@
 	const auto free = replica_id{first.requests().empty() ? "r0" : "r1"};
 	for (int i = 0; i < 3; ++i)
 	{
-		world.gateway().selector().note_sent(*world.gateway().replicas().find(free), 0);
+		world.gateway().selector().record_sent(*world.gateway().replicas().find(free), 0);
 	}
 	b.send(request_to("POST", "/unsafe/a", "two"));
 	world.run_until([&] { return first.requests().size() + second.requests().size() == 2; });
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -324,7 +324,7 @@
 	world.start({{"engine", &replica}});
 	// At the speed assumed at first, 12 tokens in a millisecond, this takes 27.5 s: within the time limit of
 	// 30 s, far over the objective of 20 s.
-	world.gateway().selector().note_sent(*world.gateway().replicas().find(replica_id{"r0"}), 330000);
+	world.gateway().selector().record_sent(*world.gateway().replicas().find(replica_id{"r0"}), 330000);
 	scripted_caller caller{world.context, world.port()};
 	caller.send(request_to("POST", "/stream/a", "p", "Model: *\r\n"));
 	world.run_until([&] { return caller.received().ends_with("0\r\n\r\n"); });
@@ -339,7 +339,7 @@
 	scripted_replica replica{world.context, answers("")};
 	world.start({{"engine", &replica}});
 	// At the speed assumed at first, 12 tokens in a millisecond, this takes 65 s; the time limit is 30 s.
-	world.gateway().selector().note_sent(*world.gateway().replicas().find(replica_id{"r0"}), 780000);
+	world.gateway().selector().record_sent(*world.gateway().replicas().find(replica_id{"r0"}), 780000);
 	const auto answer = world.ask(request_to("POST", "/stream/a", "p", "Model: *\r\n"));
 	CHECK(answer.starts_with("HTTP/1.1 503"));
 	// In 45 s it would be answered within its objective of 20 s.
--- a/tests/routing/announced_limits.cpp
+++ b/tests/routing/announced_limits.cpp
@@ -17,12 +17,12 @@
 	const fleet_list vms;
 	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
 	const auto target = make_replica("r1");
-	limits.note_answer(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
+	limits.record_response(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
 	REQUIRE(limits.is_limited(target));
 	// This request was sent before the limit was received, so its response may have been overtaken.
-	limits.note_answer(target, {std::nullopt, at(milliseconds{50}), "q2"}, at(milliseconds{120}));
+	limits.record_response(target, {std::nullopt, at(milliseconds{50}), "q2"}, at(milliseconds{120}));
 	CHECK(limits.is_limited(target));
-	limits.note_answer(target, {std::nullopt, at(milliseconds{110}), "q3"}, at(milliseconds{150}));
+	limits.record_response(target, {std::nullopt, at(milliseconds{110}), "q3"}, at(milliseconds{150}));
 	CHECK_FALSE(limits.is_limited(target));
 }
 
@@ -31,7 +31,7 @@
 	const fleet_list vms;
 	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
 	auto target = make_replica("r1");
-	limits.note_answer(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
+	limits.record_response(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
 	target.incarnation = replica_incarnation{2};
 	CHECK_FALSE(limits.is_limited(target));
 }
@@ -45,10 +45,10 @@
 		[&](const replica&, limit_change change, const limit_announcement& announcement)
 		{ logged.push_back(std::string{name_of(change)} + " " + announcement.request); }};
 	const auto target = make_replica("r1");
-	limits.note_answer(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
-	limits.note_answer(target, {1.5, at(milliseconds{200}), "q2"}, at(milliseconds{300}));
-	limits.note_answer(target, {0.5, at(milliseconds{400}), "q3"}, at(milliseconds{500}));
-	limits.note_answer(target, {std::nullopt, at(milliseconds{600}), "q4"}, at(milliseconds{700}));
+	limits.record_response(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
+	limits.record_response(target, {1.5, at(milliseconds{200}), "q2"}, at(milliseconds{300}));
+	limits.record_response(target, {0.5, at(milliseconds{400}), "q3"}, at(milliseconds{500}));
+	limits.record_response(target, {std::nullopt, at(milliseconds{600}), "q4"}, at(milliseconds{700}));
 	CHECK(logged == std::vector<std::string>{"named q1", "changed q3", "over q4"});
 }
 
@@ -58,8 +58,8 @@
 	const fleet_list vms;
 	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
 	const auto target = make_replica("r1");
-	limits.note_answer(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
-	limits.note_answer(target, {std::nullopt, at(milliseconds{200}), "q2"}, at(milliseconds{300}));
+	limits.record_response(target, {1.5, at(milliseconds{0}), "q1"}, at(milliseconds{100}));
+	limits.record_response(target, {std::nullopt, at(milliseconds{200}), "q2"}, at(milliseconds{300}));
 	const limit_update outdated{target.id, target.incarnation, 1.5, milliseconds{200}};
 	limits.apply_peer_update(target, outdated, at(milliseconds{350}));
 	CHECK_FALSE(limits.is_limited(target));
@@ -77,7 +77,7 @@
 		target, {target.id, target.incarnation, 1.5, milliseconds{5}}, at(milliseconds{100}));
 	REQUIRE(limits.is_limited(target));
 	CHECK(limits.local_updates(at(milliseconds{100})).empty());
-	limits.note_answer(target, {2.0, at(milliseconds{150}), "q1"}, at(milliseconds{200}));
+	limits.record_response(target, {2.0, at(milliseconds{150}), "q1"}, at(milliseconds{200}));
 	CHECK(limits.local_updates(at(milliseconds{200})).size() == 1);
 }
 
@@ -87,9 +87,9 @@
 	fleet_list vms;
 	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
 	const auto target = make_replica("r1");
-	limits.note_answer(target, {100, at(milliseconds{0}), "q1"}, at(milliseconds{0}));
-	CHECK_FALSE(limits.takes(target, at(std::chrono::seconds{60})));
+	limits.record_response(target, {100, at(milliseconds{0}), "q1"}, at(milliseconds{0}));
+	CHECK_FALSE(limits.allows_request(target, at(std::chrono::seconds{60})));
 	vms.set(vm_id{"vm1"}, {{vm_id{"vm1"}, {}}}, at(std::chrono::seconds{60}));
-	CHECK_FALSE(limits.takes(target, at(std::chrono::seconds{64})));
-	CHECK(limits.takes(target, at(std::chrono::seconds{66})));
+	CHECK_FALSE(limits.allows_request(target, at(std::chrono::seconds{64})));
+	CHECK(limits.allows_request(target, at(std::chrono::seconds{66})));
 }
--- a/tests/routing/limited_fleet.cpp
+++ b/tests/routing/limited_fleet.cpp
@@ -130,11 +130,11 @@
 	{
 		const double per_step = demand_ * std::chrono::duration<double>{step}.count();
 		auto& sender = *vms_[vm];
-		if (random_unit(random_) >= per_step || !sender.limits.takes(target_, now_))
+		if (random_unit(random_) >= per_step || !sender.limits.allows_request(target_, now_))
 		{
 			return;
 		}
-		sender.limits.note_sent(target_, now_);
+		sender.limits.record_sent(target_, now_);
 		++request_count_;
 		if (sender.is_informed)
 		{
@@ -154,7 +154,7 @@
 					return false;
 				}
 				auto& sender = *vms_[response.vm];
-				sender.limits.note_answer(target_, {response.limit, response.sent_at, "q"}, now_);
+				sender.limits.record_response(target_, {response.limit, response.sent_at, "q"}, now_);
 				sender.is_informed = sender.is_informed || response.limit;
 				return true;
 			});
--- a/tests/routing/replica_selector.cpp
+++ b/tests/routing/replica_selector.cpp
@@ -65,7 +65,7 @@
 {
 	selector_fixture fixture{3};
 	const auto preferred = fixture.choose(42)->id;
-	fixture.selector.note_sent(fixture.of(preferred), 200000);
+	fixture.selector.record_sent(fixture.of(preferred), 200000);
 	const auto next = fixture.choose(42)->id;
 	CHECK(next != preferred);
 	fixture.selector.note_over(fixture.of(preferred), 200000);
@@ -76,7 +76,7 @@
 {
 	selector_fixture fixture{3};
 	const auto preferred = fixture.choose(42)->id;
-	fixture.selector.note_sent(fixture.of(preferred), 200000);
+	fixture.selector.record_sent(fixture.of(preferred), 200000);
 	REQUIRE(fixture.choose(42)->id != preferred);
 	fixture.selector.note_part_done(fixture.of(preferred), 190000);
 	CHECK(fixture.choose(42)->id == preferred);
@@ -109,9 +109,9 @@
 	request.is_engine = true;
 	request.usable = [](const replica&) { return true; };
 	const auto preferred = fixture.selector.choose(request, fixture.now)->id;
-	fixture.selector.note_sent(fixture.of(preferred), 60000);
+	fixture.selector.record_sent(fixture.of(preferred), 60000);
 	CHECK(fixture.selector.choose(request, fixture.now)->id == preferred);
-	fixture.selector.note_sent(fixture.of(preferred), 60000);
+	fixture.selector.record_sent(fixture.of(preferred), 60000);
 	CHECK(fixture.selector.choose(request, fixture.now)->id != preferred);
 	CHECK(fixture.selector.open_work().front().tokens == 120000);
 }
@@ -152,7 +152,7 @@
 	"prompts for small models leave the failure domain if its replicas have too much work", "[selector]")
 {
 	selector_fixture fixture{6};
-	fixture.selector.note_sent(fixture.of(replica_id{"r0"}), 50000);
+	fixture.selector.record_sent(fixture.of(replica_id{"r0"}), 50000);
 	for (std::uint64_t prompt = 1; prompt <= 40; ++prompt)
 	{
 		CHECK(fixture.selector.choose(prompt_for(0.05, prompt), fixture.now)->domain.str() == "far");
@@ -163,7 +163,7 @@
 {
 	selector_fixture fixture{3};
 	CHECK(fixture.choose()->id.str() == "r0");
-	fixture.selector.note_sent(fixture.of(replica_id{"r0"}), 0);
+	fixture.selector.record_sent(fixture.of(replica_id{"r0"}), 0);
 	CHECK(fixture.choose()->id.str() != "r0");
 }
 
--- a/tests/routing/rest_periods.cpp
+++ b/tests/routing/rest_periods.cpp
@@ -29,9 +29,9 @@
 	const auto target = make_replica("r1");
 	backoffs.note_rest(target, seconds{3}, "q1", at(seconds{0}));
 	backoffs.note_rest(target, seconds{1}, "q2", at(seconds{1}));
-	backoffs.note_answer(target, at(milliseconds{500}));
-	CHECK_FALSE(backoffs.takes(target, at(milliseconds{2999})));
-	CHECK(backoffs.takes(target, at(seconds{3})));
+	backoffs.record_response(target, at(milliseconds{500}));
+	CHECK_FALSE(backoffs.allows_request(target, at(milliseconds{2999})));
+	CHECK(backoffs.allows_request(target, at(seconds{3})));
 }
 
 TEST_CASE(
@@ -40,25 +40,25 @@
 	auto backoffs = make_backoffs();
 	const auto target = make_replica("r1");
 	backoffs.note_rest(target, seconds{3}, "q1", at(seconds{0}));
-	backoffs.note_sent(target, at(seconds{3}));
-	CHECK_FALSE(backoffs.takes(target, at(milliseconds{3100})));
+	backoffs.record_sent(target, at(seconds{3}));
+	CHECK_FALSE(backoffs.allows_request(target, at(milliseconds{3100})));
 	CHECK_FALSE(backoffs.is_resting(target, at(milliseconds{3100})));
 	SECTION("answered")
 	{
-		backoffs.note_answer(target, at(seconds{3}));
-		CHECK(backoffs.takes(target, at(milliseconds{3100})));
-		backoffs.note_sent(target, at(milliseconds{3100}));
-		CHECK(backoffs.takes(target, at(milliseconds{3100})));
+		backoffs.record_response(target, at(seconds{3}));
+		CHECK(backoffs.allows_request(target, at(milliseconds{3100})));
+		backoffs.record_sent(target, at(milliseconds{3100}));
+		CHECK(backoffs.allows_request(target, at(milliseconds{3100})));
 	}
 	SECTION("refused again")
 	{
 		backoffs.note_rest(target, seconds{3}, "q2", at(milliseconds{3100}));
-		CHECK_FALSE(backoffs.takes(target, at(milliseconds{6000})));
-		CHECK(backoffs.takes(target, at(milliseconds{6100})));
+		CHECK_FALSE(backoffs.allows_request(target, at(milliseconds{6000})));
+		CHECK(backoffs.allows_request(target, at(milliseconds{6100})));
 	}
 	SECTION("without an answer")
 	{
-		CHECK(backoffs.takes(target, at(seconds{5})));
+		CHECK(backoffs.allows_request(target, at(seconds{5})));
 	}
 }
 
@@ -71,9 +71,9 @@
 	{
 		const auto target = make_replica("r" + std::to_string(i));
 		backoffs.note_rest(target, seconds{3}, "q" + std::to_string(i), at(seconds{0}));
-		CHECK_FALSE(backoffs.takes(target, at(milliseconds{2999})));
-		CHECK(backoffs.takes(target, at(milliseconds{3300})));
-		resumed += backoffs.takes(target, at(milliseconds{3150})) ? 1U : 0U;
+		CHECK_FALSE(backoffs.allows_request(target, at(milliseconds{2999})));
+		CHECK(backoffs.allows_request(target, at(milliseconds{3300})));
+		resumed += backoffs.allows_request(target, at(milliseconds{3150})) ? 1U : 0U;
 	}
 	CHECK(resumed > vms / 4);
 	CHECK(resumed < vms - vms / 4);
@@ -84,12 +84,12 @@
 	auto backoffs = make_backoffs();
 	const auto target = make_replica("r1");
 	backoffs.note_rest(target, seconds{0}, "q1", at(seconds{0}));
-	CHECK(backoffs.takes(target, at(seconds{0})));
-	backoffs.note_sent(target, at(seconds{0}));
-	CHECK(backoffs.takes(target, at(seconds{0})));
+	CHECK(backoffs.allows_request(target, at(seconds{0})));
+	backoffs.record_sent(target, at(seconds{0}));
+	CHECK(backoffs.allows_request(target, at(seconds{0})));
 	backoffs.note_rest(target, std::chrono::hours{100}, "q2", at(seconds{0}));
-	CHECK_FALSE(backoffs.takes(target, at(std::chrono::minutes{9})));
-	CHECK(backoffs.takes(target, at(std::chrono::minutes{10})));
+	CHECK_FALSE(backoffs.allows_request(target, at(std::chrono::minutes{9})));
+	CHECK(backoffs.allows_request(target, at(std::chrono::minutes{10})));
 }
 
 TEST_CASE("a back-off period does not apply to the next process with the same replica id", "[routing][rest]")
@@ -98,7 +98,7 @@
 	auto target = make_replica("r1");
 	backoffs.note_rest(target, seconds{3}, "q1", at(seconds{0}));
 	target.incarnation = replica_incarnation{2};
-	CHECK(backoffs.takes(target, at(seconds{1})));
+	CHECK(backoffs.allows_request(target, at(seconds{1})));
 }
 
 TEST_CASE("the time until retry is that of the first replica of a service to end its back-off period",
--- a/tests/routing/restarted_replica.cpp
+++ b/tests/routing/restarted_replica.cpp
@@ -103,13 +103,13 @@
 {
 	restart_fixture fixture;
 	const auto before = *fixture.set.find(replica_id{"r0"});
-	fixture.selector.note_sent(before, 5000);
+	fixture.selector.record_sent(before, 5000);
 	fixture.selector.note_elsewhere({{replica_id{"r0"}, 3000}}, at(milliseconds{0}));
 	CHECK(fixture.selector.work_at(before, at(milliseconds{0})) == 8000);
 	fixture.restart();
 	const auto after = *fixture.set.find(replica_id{"r0"});
 	CHECK(fixture.selector.work_at(after, at(milliseconds{0})) == 0);
-	fixture.selector.note_sent(after, 700);
+	fixture.selector.record_sent(after, 700);
 	// The requests to the previous process end only now.
 	fixture.selector.note_part_done(before, 4000);
 	fixture.selector.note_over(before, 1000);
--- a/tests/routing/slow_start.cpp
+++ b/tests/routing/slow_start.cpp
@@ -106,9 +106,9 @@
 				vm.vms.set(vm_named(i), vms_up_to(listed), now);
 				vm.vms.confirm(now);
 			}
-			if (vm.cold.takes(target, now))
+			if (vm.cold.allows_request(target, now))
 			{
-				vm.cold.note_sent(target, now);
+				vm.cold.record_sent(target, now);
 				sent.push_back(now);
 			}
 		}
@@ -142,9 +142,9 @@
 			vm.vms.set(vm_named(i), vms_up_to(vms), at(seconds{0}));
 			vm.vms.confirm(now);
 			cold.note_told(target, now);
-			while (cold.takes(target, now))
+			while (cold.allows_request(target, now))
 			{
-				cold.note_sent(target, now);
+				cold.record_sent(target, now);
 				++sent;
 			}
 		}
@@ -159,16 +159,16 @@
 	auto& cold = vm.cold;
 	const auto target = cold_replica(seconds{60});
 	cold.note_told(target, at(seconds{0}));
-	CHECK_FALSE(cold.takes(target, at(seconds{0})));
+	CHECK_FALSE(cold.allows_request(target, at(seconds{0})));
 	vm.vms.set(vm_named(0), vms_up_to(2), at(seconds{0}));
 	vm.vms.confirm(at(seconds{4}));
-	CHECK_FALSE(cold.takes(target, at(seconds{5})));
-	CHECK(cold.takes(target, at(milliseconds{5001})));
-	CHECK(cold.takes(target, at(seconds{9})));
-	CHECK_FALSE(cold.takes(target, at(milliseconds{9001})));
+	CHECK_FALSE(cold.allows_request(target, at(seconds{5})));
+	CHECK(cold.allows_request(target, at(milliseconds{5001})));
+	CHECK(cold.allows_request(target, at(seconds{9})));
+	CHECK_FALSE(cold.allows_request(target, at(milliseconds{9001})));
 	vm.vms.set(vm_named(0), {{vm_named(1), {}}}, at(seconds{9}));
 	vm.vms.confirm(at(seconds{9}));
-	CHECK_FALSE(cold.takes(target, at(seconds{9})));
+	CHECK_FALSE(cold.allows_request(target, at(seconds{9})));
 }
 
 TEST_CASE("a replica is cold until the latest end that is known", "[routing][slow_start]")
@@ -180,7 +180,7 @@
 	const auto target = make_replica("r1");
 	CHECK(cold.is_cold(target, at(milliseconds{1999})));
 	CHECK_FALSE(cold.is_cold(target, at(seconds{2})));
-	CHECK(cold.takes(target, at(seconds{2})));
+	CHECK(cold.allows_request(target, at(seconds{2})));
 	cold.note_unknown(target, cold_reason::unreachable, at(seconds{2}));
 	CHECK(cold.is_cold(target, at(milliseconds{4999})));
 	CHECK(cold.time_until_warm(service_id{"s"}, at(seconds{4})) == seconds{1});
@@ -194,7 +194,7 @@
 	const auto target = cold_replica(seconds{60});
 	cold.note_told(target, at(seconds{0}));
 	cold.note_unknown(target, cold_reason::evacuated, at(seconds{0}));
-	CHECK(cold.takes(target, at(seconds{0})));
+	CHECK(cold.allows_request(target, at(seconds{0})));
 	CHECK(cold.cold_count(at(seconds{0})) == 0);
 }
 
@@ -206,9 +206,9 @@
 	vm.vms.set(vm_named(0), vms_up_to(13), at(seconds{0}));
 	vm.vms.confirm(at(seconds{8}));
 	cold.note_told(target, at(seconds{8}));
-	cold.note_sent(target, at(seconds{8}));
-	CHECK_FALSE(cold.takes(target, at(seconds{8})));
+	cold.record_sent(target, at(seconds{8}));
+	CHECK_FALSE(cold.allows_request(target, at(seconds{8})));
 	cold.note_left(target, at(seconds{8}), at(milliseconds{8400}));
-	CHECK_FALSE(cold.takes(target, at(milliseconds{9100})));
-	CHECK(cold.takes(target, at(milliseconds{9500})));
+	CHECK_FALSE(cold.allows_request(target, at(milliseconds{9100})));
+	CHECK(cold.allows_request(target, at(milliseconds{9500})));
 }
