--- a/include/gingerdyke/routing/replica_selector.hpp
+++ b/include/gingerdyke/routing/replica_selector.hpp
@@ -138,24 +138,24 @@
 	void record_sent(const replica& target, double tokens);
 
 	/// \brief Records that part of the work of a request sent before is done.
-	void note_part_done(const replica& target, double tokens);
+	void record_progress(const replica& target, double tokens);
 
 	/// \brief Records that a request sent before has ended.
-	void note_over(const replica& target, double tokens);
+	void record_completion(const replica& target, double tokens);
 
 	/// \brief Records the outcome of an attempt.
 	/// \param took Time to the first byte of the response, if there was one.
-	void note_result(const replica& target, replica_result result, duration took, instant now);
+	void record_result(const replica& target, replica_result result, duration took, instant now);
 
 	/// \brief Returns the work that this VM has outstanding, for other VMs.
-	[[nodiscard]] std::vector<replica_work> open_work() const;
+	[[nodiscard]] std::vector<replica_work> outstanding_work() const;
 
 	/// \brief Returns the outstanding work at a replica, from this VM and as reported by other VMs, in
 	/// prompt tokens as processed by the largest model.
 	[[nodiscard]] double work_at(const replica& target, instant now) const;
 
 	/// \brief Replaces what is known of the outstanding work of other VMs.
-	void note_elsewhere(const std::vector<replica_work>& work, instant now);
+	void set_remote_work(const std::vector<replica_work>& work, instant now);
 
 	/// \brief Drops the state of a replica that is gone or has restarted: its work, failures and ejection
 	/// were those of the previous process.
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -70,7 +70,7 @@
 	}
 	const auto& versions = gateway_.versions();
 	const auto now = proxy::steady_now();
-	return peer_report{reporter_, gateway_.selector().open_work(), versions.own_evidence(),
+	return peer_report{reporter_, gateway_.selector().outstanding_work(), versions.own_evidence(),
 		versions.suspensions(), gateway_.suspects().news(1, now), gateway_.announced().local_updates(now)};
 }
 
@@ -96,7 +96,7 @@
 peer_summary coordinator::summary_for(const std::string& reporter)
 {
 	const auto now = proxy::steady_now();
-	board_.take(reporter_, gateway_.selector().open_work(), now);
+	board_.take(reporter_, gateway_.selector().outstanding_work(), now);
 	board_.take_limits(reporter_, gateway_.announced().local_updates(now), now);
 	// What stood beside one end only is for the VMs that sum up.
 	constexpr std::size_t least_ended = 2;
@@ -159,7 +159,7 @@
 	{
 		one.tokens *= scale;
 	}
-	gateway_.selector().note_elsewhere(work, proxy::steady_now());
+	gateway_.selector().set_remote_work(work, proxy::steady_now());
 }
 
 /// Each call is priced, and evidence is only there while a shift runs.
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -305,7 +305,7 @@
 void exchange::note_prompt_read()
 {
 	const auto read = prompt_.tokens_in * model_weight();
-	shared_.selector().note_part_done(*attempt_->to, read);
+	shared_.selector().record_progress(*attempt_->to, read);
 	attempt_->work -= read;
 }
 
@@ -316,7 +316,7 @@
 		return;
 	}
 	attempt_timer_.cancel();
-	shared_.selector().note_over(*attempt_->to, attempt_->work);
+	shared_.selector().record_completion(*attempt_->to, attempt_->work);
 	note_run_end();
 	if (!answered_whole)
 	{
@@ -339,7 +339,7 @@
 
 void exchange::note_result(routing::replica_result result)
 {
-	shared_.selector().note_result(*attempt_->to, result, attempt_->first_byte, steady_now());
+	shared_.selector().record_result(*attempt_->to, result, attempt_->first_byte, steady_now());
 }
 
 void exchange::cancel()
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -395,7 +395,7 @@
 	was_expected ? suspects_.retract(end.life) : suspects_.confirm(end.life, together, now);
 	cold_replicas_.note_unknown(*end.replica, routing::cold_reason::unreachable, now);
 	// Nobody else has to find out by a connection that is refused.
-	selector_.note_result(*end.replica, routing::replica_result::not_connected, duration{0}, now);
+	selector_.record_result(*end.replica, routing::replica_result::not_connected, duration{0}, now);
 	if (suspicion_hook_ && !end.requests.empty())
 	{
 		suspicion_hook_();
--- a/src/routing/replica_selector.cpp
+++ b/src/routing/replica_selector.cpp
@@ -189,7 +189,7 @@
 	}
 }
 
-void replica_selector::note_part_done(const replica& target, double tokens)
+void replica_selector::record_progress(const replica& target, double tokens)
 {
 	if (auto* stats = find_current(target))
 	{
@@ -197,7 +197,7 @@
 	}
 }
 
-void replica_selector::note_over(const replica& target, double tokens)
+void replica_selector::record_completion(const replica& target, double tokens)
 {
 	auto* stats = find_current(target);
 	if (stats == nullptr || stats->open == 0)
@@ -208,7 +208,7 @@
 	stats->remove_work(tokens);
 }
 
-void replica_selector::note_result(const replica& target, replica_result result, duration took, instant now)
+void replica_selector::record_result(const replica& target, replica_result result, duration took, instant now)
 {
 	auto* current = find_current(target);
 	if (current == nullptr)
@@ -301,7 +301,7 @@
 	remote_work_.erase(id);
 }
 
-std::vector<replica_work> replica_selector::open_work() const
+std::vector<replica_work> replica_selector::outstanding_work() const
 {
 	std::vector<replica_work> all;
 	for (const auto& [id, stats] : stats_)
@@ -314,7 +314,7 @@
 	return all;
 }
 
-void replica_selector::note_elsewhere(const std::vector<replica_work>& work, instant now)
+void replica_selector::set_remote_work(const std::vector<replica_work>& work, instant now)
 {
 	remote_work_.clear();
 	for (const auto& reported : work)
--- a/tests/routing/replica_selector.cpp
+++ b/tests/routing/replica_selector.cpp
@@ -68,7 +68,7 @@
 	fixture.selector.record_sent(fixture.of(preferred), 200000);
 	const auto next = fixture.choose(42)->id;
 	CHECK(next != preferred);
-	fixture.selector.note_over(fixture.of(preferred), 200000);
+	fixture.selector.record_completion(fixture.of(preferred), 200000);
 	CHECK(fixture.choose(42)->id == preferred);
 }
 
@@ -78,23 +78,23 @@
 	const auto preferred = fixture.choose(42)->id;
 	fixture.selector.record_sent(fixture.of(preferred), 200000);
 	REQUIRE(fixture.choose(42)->id != preferred);
-	fixture.selector.note_part_done(fixture.of(preferred), 190000);
+	fixture.selector.record_progress(fixture.of(preferred), 190000);
 	CHECK(fixture.choose(42)->id == preferred);
-	REQUIRE(fixture.selector.open_work().size() == 1);
-	CHECK(fixture.selector.open_work().front().tokens == 10000);
-	fixture.selector.note_over(fixture.of(preferred), 10000);
-	CHECK(fixture.selector.open_work().empty());
+	REQUIRE(fixture.selector.outstanding_work().size() == 1);
+	CHECK(fixture.selector.outstanding_work().front().tokens == 10000);
+	fixture.selector.record_completion(fixture.of(preferred), 10000);
+	CHECK(fixture.selector.outstanding_work().empty());
 }
 
 TEST_CASE("outstanding work of other VMs counts until the report expires", "[selector]")
 {
 	selector_fixture fixture{6};
 	const auto preferred = fixture.choose(42)->id;
-	fixture.selector.note_elsewhere({{preferred, 200000}}, fixture.now);
+	fixture.selector.set_remote_work({{preferred, 200000}}, fixture.now);
 	CHECK(fixture.choose(42)->id != preferred);
 	fixture.now += seconds{3};
 	CHECK(fixture.choose(42)->id == preferred);
-	fixture.selector.note_elsewhere({}, fixture.now);
+	fixture.selector.set_remote_work({}, fixture.now);
 	CHECK(fixture.choose(42)->id == preferred);
 }
 
@@ -113,7 +113,7 @@
 	CHECK(fixture.selector.choose(request, fixture.now)->id == preferred);
 	fixture.selector.record_sent(fixture.of(preferred), 60000);
 	CHECK(fixture.selector.choose(request, fixture.now)->id != preferred);
-	CHECK(fixture.selector.open_work().front().tokens == 120000);
+	CHECK(fixture.selector.outstanding_work().front().tokens == 120000);
 }
 
 namespace
@@ -172,8 +172,8 @@
 {
 	selector_fixture fixture{4};
 	const auto failing = *fixture.replicas.find(replica_id{"r0"});
-	fixture.selector.note_result(failing, replica_result::no_answer, duration{}, fixture.now);
-	fixture.selector.note_result(failing, replica_result::no_answer, duration{}, fixture.now);
+	fixture.selector.record_result(failing, replica_result::no_answer, duration{}, fixture.now);
+	fixture.selector.record_result(failing, replica_result::no_answer, duration{}, fixture.now);
 	CHECK(fixture.ejections == 1);
 	for (int i = 0; i < 20; ++i)
 	{
@@ -181,7 +181,7 @@
 	}
 	fixture.now += seconds{2};
 	CHECK(fixture.choose()->id == failing.id);
-	fixture.selector.note_result(failing, replica_result::no_answer, duration{}, fixture.now);
+	fixture.selector.record_result(failing, replica_result::no_answer, duration{}, fixture.now);
 	fixture.now += seconds{2};
 	CHECK(fixture.choose()->id != failing.id);
 	fixture.now += seconds{2};
@@ -194,8 +194,8 @@
 	for (const auto* id : {"r0", "r1", "r2"})
 	{
 		const auto failing = *fixture.replicas.find(replica_id{id});
-		fixture.selector.note_result(failing, replica_result::no_answer, duration{}, fixture.now);
-		fixture.selector.note_result(failing, replica_result::no_answer, duration{}, fixture.now);
+		fixture.selector.record_result(failing, replica_result::no_answer, duration{}, fixture.now);
+		fixture.selector.record_result(failing, replica_result::no_answer, duration{}, fixture.now);
 	}
 	CHECK(fixture.choose()->id.str() == "r0");
 }
@@ -206,7 +206,7 @@
 	const auto full = *fixture.replicas.find(replica_id{"r0"});
 	for (int i = 0; i < 20; ++i)
 	{
-		fixture.selector.note_result(full, replica_result::refused, duration{}, fixture.now);
+		fixture.selector.record_result(full, replica_result::refused, duration{}, fixture.now);
 	}
 	CHECK(fixture.ejections == 0);
 }
@@ -217,7 +217,7 @@
 	selector_fixture fixture{6};
 	const auto fail = [&](const char* id)
 	{
-		fixture.selector.note_result(
+		fixture.selector.record_result(
 			*fixture.replicas.find(replica_id{id}), replica_result::not_connected, duration{}, fixture.now);
 	};
 	fail("r1");
@@ -235,7 +235,7 @@
 	}
 	SECTION("one of its replicas answers")
 	{
-		fixture.selector.note_result(*fixture.replicas.find(replica_id{"r3"}), replica_result::answered,
+		fixture.selector.record_result(*fixture.replicas.find(replica_id{"r3"}), replica_result::answered,
 			milliseconds{10}, fixture.now);
 	}
 	SECTION("time passes")
@@ -255,7 +255,7 @@
 	selector_fixture fixture{3};
 	for (const auto* id : {"r1", "r2"})
 	{
-		fixture.selector.note_result(
+		fixture.selector.record_result(
 			*fixture.replicas.find(replica_id{id}), replica_result::no_answer, duration{}, fixture.now);
 	}
 	selection far;
--- a/tests/routing/restarted_replica.cpp
+++ b/tests/routing/restarted_replica.cpp
@@ -90,12 +90,12 @@
 {
 	restart_fixture fixture;
 	const auto before = *fixture.set.find(replica_id{"r0"});
-	fixture.selector.note_result(before, replica_result::not_connected, duration{}, at(milliseconds{0}));
+	fixture.selector.record_result(before, replica_result::not_connected, duration{}, at(milliseconds{0}));
 	CHECK(fixture.chosen() == std::set<std::string>{"r1"});
 	fixture.restart();
 	CHECK(fixture.chosen().contains("r0"));
 	// A late result of the previous process does not apply to this one.
-	fixture.selector.note_result(before, replica_result::not_connected, duration{}, at(milliseconds{50}));
+	fixture.selector.record_result(before, replica_result::not_connected, duration{}, at(milliseconds{50}));
 	CHECK(fixture.chosen().contains("r0"));
 }
 
@@ -104,25 +104,25 @@
 	restart_fixture fixture;
 	const auto before = *fixture.set.find(replica_id{"r0"});
 	fixture.selector.record_sent(before, 5000);
-	fixture.selector.note_elsewhere({{replica_id{"r0"}, 3000}}, at(milliseconds{0}));
+	fixture.selector.set_remote_work({{replica_id{"r0"}, 3000}}, at(milliseconds{0}));
 	CHECK(fixture.selector.work_at(before, at(milliseconds{0})) == 8000);
 	fixture.restart();
 	const auto after = *fixture.set.find(replica_id{"r0"});
 	CHECK(fixture.selector.work_at(after, at(milliseconds{0})) == 0);
 	fixture.selector.record_sent(after, 700);
 	// The requests to the previous process end only now.
-	fixture.selector.note_part_done(before, 4000);
-	fixture.selector.note_over(before, 1000);
+	fixture.selector.record_progress(before, 4000);
+	fixture.selector.record_completion(before, 1000);
 	CHECK(fixture.selector.work_at(after, at(milliseconds{0})) == 700);
-	fixture.selector.note_over(after, 700);
-	CHECK(fixture.selector.open_work().empty());
+	fixture.selector.record_completion(after, 700);
+	CHECK(fixture.selector.outstanding_work().empty());
 }
 
 TEST_CASE("an entry that expired and came back is the same process and stays ejected", "[routing][restart]")
 {
 	restart_fixture fixture;
 	const auto one = *fixture.set.find(replica_id{"r0"});
-	fixture.selector.note_result(one, replica_result::not_connected, duration{}, at(milliseconds{0}));
+	fixture.selector.record_result(one, replica_result::not_connected, duration{}, at(milliseconds{0}));
 	fixture.set.note_unsound(at(milliseconds{10}));
 	fixture.set.remove(replica_id{"r0"}, at(milliseconds{20}));
 	fixture.set.put(one, at(milliseconds{30}));
