--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -13,13 +13,13 @@
 #include <gingerdyke/quarantine/suspect_list.hpp>
 #include <gingerdyke/rollout/version_shift.hpp>
 #include <gingerdyke/routing/announced_limits.hpp>
+#include <gingerdyke/routing/backoff_periods.hpp>
 #include <gingerdyke/routing/catalog.hpp>
 #include <gingerdyke/routing/evacuated_domains.hpp>
 #include <gingerdyke/routing/first_token_time.hpp>
 #include <gingerdyke/routing/fleet_list.hpp>
 #include <gingerdyke/routing/replica_selector.hpp>
 #include <gingerdyke/routing/replica_set.hpp>
-#include <gingerdyke/routing/rest_periods.hpp>
 #include <gingerdyke/routing/size_policy.hpp>
 #include <gingerdyke/routing/slow_start.hpp>
 #include <map>
@@ -227,7 +227,7 @@
 	[[nodiscard]] routing::evacuated_domains& evacuated() noexcept { return evacuated_; }
 	[[nodiscard]] routing::slow_start& cold_replicas() noexcept { return cold_replicas_; }
 	[[nodiscard]] routing::announced_limits& announced() noexcept { return announced_; }
-	[[nodiscard]] routing::rest_periods& resting() noexcept { return resting_; }
+	[[nodiscard]] routing::backoff_periods& resting() noexcept { return resting_; }
 	[[nodiscard]] unknown_statements& unknown() noexcept { return unknown_; }
 	[[nodiscard]] routing::replica_selector& selector() noexcept { return selector_; }
 	[[nodiscard]] upstream_pool& pool() noexcept { return pool_; }
@@ -258,7 +258,7 @@
 	routing::fleet_list vms_;
 	routing::slow_start cold_replicas_;
 	routing::announced_limits announced_;
-	routing::rest_periods resting_;
+	routing::backoff_periods resting_;
 	routing::replica_selector selector_;
 	upstream_pool pool_;
 	quarantine::suspect_list suspects_;
--- a/include/gingerdyke/routing/rest_periods.hpp
+++ b/include/gingerdyke/routing/backoff_periods.hpp
@@ -12,8 +12,8 @@
 
 namespace gingerdyke::routing
 {
-/// \brief Tuning of `rest_periods`.
-struct rest_tuning
+/// \brief Tuning of `backoff_periods`.
+struct backoff_tuning
 {
 	/// Maximum length of a back-off period: no overload lasts longer, and a wrong value must not take a
 	/// replica out of use for hours.
@@ -31,21 +31,21 @@
 
 /// \brief Tracks which replicas are in a back-off period, and until when. If several were requested, the
 /// latest end counts.
-class rest_periods
+class backoff_periods
 {
   public:
 	/// \brief Called when a replica outside a back-off period requests one, with the id of the refused
 	/// request and the length of the period.
-	using rest_hook = std::function<void(const replica&, const std::string& request, duration length)>;
+	using backoff_hook = std::function<void(const replica&, const std::string& request, duration length)>;
 
-	explicit rest_periods(rest_hook began, rest_tuning tuning = {})
+	explicit backoff_periods(backoff_hook began, backoff_tuning tuning = {})
 		: began_(std::move(began)), tuning_(tuning)
 	{
 	}
 
 	/// \brief Records that a replica requests a back-off period.
 	/// \param request Id of the request that the replica refused, for the log.
-	void note_rest(const replica& sender, duration length, const std::string& request, instant now);
+	void record_backoff(const replica& sender, duration length, const std::string& request, instant now);
 
 	/// \brief Records a response without a back-off request: if it answers a request sent after the period,
 	/// the replica accepts all requests again.
@@ -56,7 +56,7 @@
 	void record_sent(const replica& target, instant now);
 
 	/// \brief Whether a replica is in a back-off period now.
-	[[nodiscard]] bool is_resting(const replica& target, instant now) const;
+	[[nodiscard]] bool is_backing_off(const replica& target, instant now) const;
 
 	/// \brief Whether this VM may send a request to a replica now: the replica is not in a back-off period,
 	/// and the first request after one is not still waiting for its response.
@@ -64,7 +64,7 @@
 
 	/// \brief Time until the first of a service's replicas leaves its back-off period; none: none of them
 	/// is in one.
-	[[nodiscard]] std::optional<duration> time_until_back(const service_id& service, instant now) const;
+	[[nodiscard]] std::optional<duration> time_until_resumed(const service_id& service, instant now) const;
 
 	/// \brief Drops the state of a replica that is gone or has restarted.
 	void forget(const replica_id& id) { states_.erase(id); }
@@ -85,8 +85,8 @@
 
 	[[nodiscard]] const state* find(const replica& target) const;
 
-	rest_hook began_;
-	rest_tuning tuning_;
+	backoff_hook began_;
+	backoff_tuning tuning_;
 	std::map<replica_id, state> states_;
 };
 } // namespace gingerdyke::routing
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -49,7 +49,7 @@
 	const bool has_cold_share = attempt_->is_cold || shared_.cold_replicas().takes(to, now);
 	const bool has_limit_share = attempt_->is_limited || shared_.announced().takes(to, now);
 	return shared_.replicas().takes_work(to) && !shared_.evacuated().contains(to.domain) &&
-		   !shared_.resting().is_resting(to, now) && has_cold_share && has_limit_share;
+		   !shared_.resting().is_backing_off(to, now) && has_cold_share && has_limit_share;
 }
 
 void exchange::on_head(answer_head head)
@@ -122,7 +122,7 @@
 	}
 	if (said.rest)
 	{
-		shared_.resting().note_rest(from, *said.rest, id_, now);
+		shared_.resting().record_backoff(from, *said.rest, id_, now);
 	}
 	else
 	{
@@ -169,7 +169,7 @@
 /// Where all replicas rest, the caller is told when the first of them is back.
 void exchange::give_up_refused()
 {
-	if (shared_.resting().time_until_back(service_id_, steady_now()) && !choose_replica())
+	if (shared_.resting().time_until_resumed(service_id_, steady_now()) && !choose_replica())
 	{
 		refuse_without_replica();
 		return;
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -235,7 +235,7 @@
 	};
 	consider("replicas are cold", cold_replicas_.time_until_warm(service, now));
 	consider("replicas limit their load", announced_.time_until_allowed(service, now));
-	consider("replicas want rest", resting_.time_until_back(service, now));
+	consider("replicas want rest", resting_.time_until_resumed(service, now));
 	if (first)
 	{
 		first->retry_after = std::max(first->retry_after, tuning_.retry_after);
--- a/src/routing/rest_periods.cpp
+++ b/src/routing/backoff_periods.cpp
@@ -3,18 +3,19 @@
 #include <algorithm>
 #include <gingerdyke/base/crypto.hpp>
 #include <gingerdyke/base/random.hpp>
-#include <gingerdyke/routing/rest_periods.hpp>
+#include <gingerdyke/routing/backoff_periods.hpp>
 
 namespace gingerdyke::routing
 {
-const rest_periods::state* rest_periods::find(const replica& target) const
+const backoff_periods::state* backoff_periods::find(const replica& target) const
 {
 	const auto found = states_.find(target.id);
 	const bool is_current = found != states_.end() && found->second.incarnation == target.incarnation;
 	return is_current ? &found->second : nullptr;
 }
 
-void rest_periods::note_rest(const replica& sender, duration length, const std::string& request, instant now)
+void backoff_periods::record_backoff(
+	const replica& sender, duration length, const std::string& request, instant now)
 {
 	if (length <= duration{0})
 	{
@@ -33,7 +34,7 @@
 	}
 }
 
-void rest_periods::record_response(const replica& sender, instant sent_at)
+void backoff_periods::record_response(const replica& sender, instant sent_at)
 {
 	const auto* current = find(sender);
 	if (current != nullptr && sent_at >= current->until)
@@ -42,21 +43,21 @@
 	}
 }
 
-void rest_periods::record_sent(const replica& target, instant now)
+void backoff_periods::record_sent(const replica& target, instant now)
 {
-	if (find(target) != nullptr && !is_resting(target, now))
+	if (find(target) != nullptr && !is_backing_off(target, now))
 	{
 		states_.at(target.id).first_sent = now;
 	}
 }
 
-bool rest_periods::is_resting(const replica& target, instant now) const
+bool backoff_periods::is_backing_off(const replica& target, instant now) const
 {
 	const auto* current = find(target);
 	return current != nullptr && now < current->until;
 }
 
-bool rest_periods::allows_request(const replica& target, instant now) const
+bool backoff_periods::allows_request(const replica& target, instant now) const
 {
 	const auto* current = find(target);
 	if (current == nullptr)
@@ -67,7 +68,7 @@
 	return now >= current->until && !is_first_pending;
 }
 
-std::optional<duration> rest_periods::time_until_back(const service_id& service, instant now) const
+std::optional<duration> backoff_periods::time_until_resumed(const service_id& service, instant now) const
 {
 	std::optional<duration> shortest;
 	for (const auto& [id, rest] : states_)
@@ -81,7 +82,7 @@
 	return shortest;
 }
 
-std::size_t rest_periods::count(instant now) const
+std::size_t backoff_periods::count(instant now) const
 {
 	return static_cast<std::size_t>(std::count_if(
 		states_.begin(), states_.end(), [&](const auto& entry) { return entry.second.until > now; }));
--- a/tests/routing/rest_periods.cpp
+++ b/tests/routing/backoff_periods.cpp
@@ -3,7 +3,7 @@
 #include "../support/replicas.hpp"
 
 #include <catch2/catch.hpp>
-#include <gingerdyke/routing/rest_periods.hpp>
+#include <gingerdyke/routing/backoff_periods.hpp>
 
 using namespace gingerdyke;
 using namespace gingerdyke::routing;
@@ -14,11 +14,11 @@
 
 namespace
 {
-rest_periods make_backoffs()
+backoff_periods make_backoffs()
 {
-	rest_tuning tuning;
+	backoff_tuning tuning;
 	tuning.resume_spread = 0;
-	return rest_periods{[](const replica&, const std::string&, duration) {}, tuning};
+	return backoff_periods{[](const replica&, const std::string&, duration) {}, tuning};
 }
 } // namespace
 
@@ -27,8 +27,8 @@
 {
 	auto backoffs = make_backoffs();
 	const auto target = make_replica("r1");
-	backoffs.note_rest(target, seconds{3}, "q1", at(seconds{0}));
-	backoffs.note_rest(target, seconds{1}, "q2", at(seconds{1}));
+	backoffs.record_backoff(target, seconds{3}, "q1", at(seconds{0}));
+	backoffs.record_backoff(target, seconds{1}, "q2", at(seconds{1}));
 	backoffs.record_response(target, at(milliseconds{500}));
 	CHECK_FALSE(backoffs.allows_request(target, at(milliseconds{2999})));
 	CHECK(backoffs.allows_request(target, at(seconds{3})));
@@ -39,10 +39,10 @@
 {
 	auto backoffs = make_backoffs();
 	const auto target = make_replica("r1");
-	backoffs.note_rest(target, seconds{3}, "q1", at(seconds{0}));
+	backoffs.record_backoff(target, seconds{3}, "q1", at(seconds{0}));
 	backoffs.record_sent(target, at(seconds{3}));
 	CHECK_FALSE(backoffs.allows_request(target, at(milliseconds{3100})));
-	CHECK_FALSE(backoffs.is_resting(target, at(milliseconds{3100})));
+	CHECK_FALSE(backoffs.is_backing_off(target, at(milliseconds{3100})));
 	SECTION("answered")
 	{
 		backoffs.record_response(target, at(seconds{3}));
@@ -52,7 +52,7 @@
 	}
 	SECTION("refused again")
 	{
-		backoffs.note_rest(target, seconds{3}, "q2", at(milliseconds{3100}));
+		backoffs.record_backoff(target, seconds{3}, "q2", at(milliseconds{3100}));
 		CHECK_FALSE(backoffs.allows_request(target, at(milliseconds{6000})));
 		CHECK(backoffs.allows_request(target, at(milliseconds{6100})));
 	}
@@ -64,13 +64,13 @@
 
 TEST_CASE("VMs resume at spread times after a back-off period, never before its end", "[routing][rest]")
 {
-	rest_periods backoffs{[](const replica&, const std::string&, duration) {}};
+	backoff_periods backoffs{[](const replica&, const std::string&, duration) {}};
 	std::size_t resumed = 0;
 	constexpr std::size_t vms = 40;
 	for (std::size_t i = 0; i < vms; ++i)
 	{
 		const auto target = make_replica("r" + std::to_string(i));
-		backoffs.note_rest(target, seconds{3}, "q" + std::to_string(i), at(seconds{0}));
+		backoffs.record_backoff(target, seconds{3}, "q" + std::to_string(i), at(seconds{0}));
 		CHECK_FALSE(backoffs.allows_request(target, at(milliseconds{2999})));
 		CHECK(backoffs.allows_request(target, at(milliseconds{3300})));
 		resumed += backoffs.allows_request(target, at(milliseconds{3150})) ? 1U : 0U;
@@ -83,11 +83,11 @@
 {
 	auto backoffs = make_backoffs();
 	const auto target = make_replica("r1");
-	backoffs.note_rest(target, seconds{0}, "q1", at(seconds{0}));
+	backoffs.record_backoff(target, seconds{0}, "q1", at(seconds{0}));
 	CHECK(backoffs.allows_request(target, at(seconds{0})));
 	backoffs.record_sent(target, at(seconds{0}));
 	CHECK(backoffs.allows_request(target, at(seconds{0})));
-	backoffs.note_rest(target, std::chrono::hours{100}, "q2", at(seconds{0}));
+	backoffs.record_backoff(target, std::chrono::hours{100}, "q2", at(seconds{0}));
 	CHECK_FALSE(backoffs.allows_request(target, at(std::chrono::minutes{9})));
 	CHECK(backoffs.allows_request(target, at(std::chrono::minutes{10})));
 }
@@ -96,7 +96,7 @@
 {
 	auto backoffs = make_backoffs();
 	auto target = make_replica("r1");
-	backoffs.note_rest(target, seconds{3}, "q1", at(seconds{0}));
+	backoffs.record_backoff(target, seconds{3}, "q1", at(seconds{0}));
 	target.incarnation = replica_incarnation{2};
 	CHECK(backoffs.allows_request(target, at(seconds{1})));
 }
@@ -105,9 +105,9 @@
 	"[routing][rest]")
 {
 	auto backoffs = make_backoffs();
-	backoffs.note_rest(make_replica("r1"), seconds{3}, "q1", at(seconds{0}));
-	backoffs.note_rest(make_replica("r2"), seconds{2}, "q2", at(seconds{0}));
-	CHECK(backoffs.time_until_back(service_id{"s"}, at(seconds{1})) == seconds{1});
+	backoffs.record_backoff(make_replica("r1"), seconds{3}, "q1", at(seconds{0}));
+	backoffs.record_backoff(make_replica("r2"), seconds{2}, "q2", at(seconds{0}));
+	CHECK(backoffs.time_until_resumed(service_id{"s"}, at(seconds{1})) == seconds{1});
 	CHECK(backoffs.count(at(seconds{1})) == 2);
-	CHECK_FALSE(backoffs.time_until_back(service_id{"s"}, at(seconds{3})));
+	CHECK_FALSE(backoffs.time_until_resumed(service_id{"s"}, at(seconds{3})));
 }
