--- a/include/gingerdyke/routing/catalog.hpp
+++ b/include/gingerdyke/routing/catalog.hpp
@@ -91,7 +91,7 @@
 	double requests_per_s{};
 
 	/// How long a replica is cold after its start.
-	duration start_time{};
+	duration warmup_time{};
 
 	auto operator<=>(const cold_limit&) const = default;
 };
--- a/include/gingerdyke/routing/replica_set.hpp
+++ b/include/gingerdyke/routing/replica_set.hpp
@@ -37,7 +37,7 @@
 	bool leaving{};
 
 	/// Remaining warm-up time, as of when its entry was written; none: its entry has none.
-	std::optional<duration> cold_left;
+	std::optional<duration> remaining_warmup;
 
 	auto operator<=>(const replica&) const = default;
 
@@ -60,7 +60,7 @@
 	added,
 	changed,
 	/// Only the remaining warm-up time in its entry changed, as with every heartbeat of a cold replica.
-	cold_time,
+	remaining_warmup_changed,
 	/// It restarted under the same id.
 	restarted,
 	leaving,
--- a/include/gingerdyke/routing/slow_start.hpp
+++ b/include/gingerdyke/routing/slow_start.hpp
@@ -18,7 +18,7 @@
 enum class cold_reason
 {
 	/// Its entry says so.
-	told,
+	announced,
 	/// It has started, and its entry does not say how long it is cold.
 	started,
 	/// A connection to it failed: its process may have restarted since its entry was read.
@@ -57,11 +57,11 @@
 	void set_limits(std::map<service_id, cold_limit> limits) { limits_ = std::move(limits); }
 
 	/// \brief Applies the remaining warm-up time in a replica's entry, if there is one.
-	void note_told(const replica& target, instant now);
+	void apply_entry(const replica& target, instant now);
 
 	/// \brief Considers a replica cold for its service's warm-up time, because it may have restarted or
 	/// gone idle.
-	void note_unknown(const replica& target, cold_reason reason, instant now);
+	void assume_cold(const replica& target, cold_reason reason, instant now);
 
 	/// \brief Drops the state of a replica that is gone.
 	void forget(const replica_id& id) { states_.erase(id); }
@@ -77,7 +77,7 @@
 
 	/// \brief Moves a recorded request to the time at which it was actually sent, after its connection had
 	/// to be established first.
-	void note_left(const replica& target, instant sent_at, instant now);
+	void update_sent_time(const replica& target, instant sent_at, instant now);
 
 	/// \brief Time until the first of a service's cold replicas is warm; none: none of them is cold.
 	[[nodiscard]] std::optional<duration> time_until_warm(const service_id& service, instant now) const;
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -32,7 +32,7 @@
 		dispatch();
 		return;
 	}
-	shared_.cold_replicas().note_left(*attempt_->to, attempt_->sent_at, steady_now());
+	shared_.cold_replicas().update_sent_time(*attempt_->to, attempt_->sent_at, steady_now());
 	if (!attempt_->is_limited)
 	{
 		shared_.announced().note_sent(*attempt_->to, steady_now());
@@ -372,7 +372,7 @@
 {
 	note_result(routing::replica_result::not_connected);
 	const auto to = attempt_->to;
-	shared_.cold_replicas().note_unknown(*to, routing::cold_reason::unreachable, steady_now());
+	shared_.cold_replicas().assume_cold(*to, routing::cold_reason::unreachable, steady_now());
 	take_back_attempt();
 	if (fault == upstream_fault::refused_connection)
 	{
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -393,7 +393,7 @@
 	const bool was_expected = !entry || !replicas_.takes_work(*entry);
 	log_replica_end(end, was_expected);
 	was_expected ? suspects_.retract(end.life) : suspects_.confirm(end.life, together, now);
-	cold_replicas_.note_unknown(*end.replica, routing::cold_reason::unreachable, now);
+	cold_replicas_.assume_cold(*end.replica, routing::cold_reason::unreachable, now);
 	// Nobody else has to find out by a connection that is refused.
 	selector_.record_result(*end.replica, routing::replica_result::not_connected, duration{0}, now);
 	if (suspicion_hook_ && !end.requests.empty())
@@ -424,7 +424,7 @@
 	{
 		if (one->domain == domain)
 		{
-			cold_replicas_.note_unknown(*one, routing::cold_reason::evacuated, now);
+			cold_replicas_.assume_cold(*one, routing::cold_reason::evacuated, now);
 		}
 	}
 }
@@ -433,19 +433,19 @@
 {
 	const bool has_started =
 		change == routing::replica_change::restarted || change == routing::replica_change::added;
-	cold_replicas_.note_told(one, now);
+	cold_replicas_.apply_entry(one, now);
 	// Of replicas that were there before this VM nothing is known to have started.
-	if (has_started && !one.cold_left && replicas_.known())
+	if (has_started && !one.remaining_warmup && replicas_.known())
 	{
-		cold_replicas_.note_unknown(one, routing::cold_reason::started, now);
+		cold_replicas_.assume_cold(one, routing::cold_reason::started, now);
 	}
 }
 
 void gateway::on_replica_change(const routing::replica& one, routing::replica_change change)
 {
-	if (change == routing::replica_change::cold_time)
+	if (change == routing::replica_change::remaining_warmup_changed)
 	{
-		cold_replicas_.note_told(one, steady_now());
+		cold_replicas_.apply_entry(one, steady_now());
 		return;
 	}
 	// The first reading of the registry is told as a whole.
--- a/src/routing/replica_set.cpp
+++ b/src/routing/replica_set.cpp
@@ -20,7 +20,7 @@
 		return "added";
 	case replica_change::changed:
 		return "changed";
-	case replica_change::cold_time:
+	case replica_change::remaining_warmup_changed:
 		return "cold time";
 	case replica_change::restarted:
 		return "restarted";
@@ -47,8 +47,8 @@
 		return replica_change::leaving;
 	}
 	auto with_old_cold_time = now;
-	with_old_cold_time.cold_left = before.cold_left;
-	return with_old_cold_time == before ? replica_change::cold_time : replica_change::changed;
+	with_old_cold_time.remaining_warmup = before.remaining_warmup;
+	return with_old_cold_time == before ? replica_change::remaining_warmup_changed : replica_change::changed;
 }
 } // namespace
 
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -11,7 +11,7 @@
 {
 	switch (reason)
 	{
-	case cold_reason::told:
+	case cold_reason::announced:
 		return "told";
 	case cold_reason::started:
 		return "started";
@@ -28,20 +28,20 @@
 {
 }
 
-void slow_start::note_told(const replica& target, instant now)
+void slow_start::apply_entry(const replica& target, instant now)
 {
-	if (target.cold_left)
+	if (target.remaining_warmup)
 	{
-		extend(target, *target.cold_left, cold_reason::told, now);
+		extend(target, *target.remaining_warmup, cold_reason::announced, now);
 	}
 }
 
-void slow_start::note_unknown(const replica& target, cold_reason reason, instant now)
+void slow_start::assume_cold(const replica& target, cold_reason reason, instant now)
 {
 	const auto limit = limits_.find(target.service);
 	if (limit != limits_.end())
 	{
-		extend(target, limit->second.start_time, reason, now);
+		extend(target, limit->second.warmup_time, reason, now);
 	}
 }
 
@@ -123,7 +123,7 @@
 	sent.push_back(now);
 }
 
-void slow_start::note_left(const replica& target, instant sent_at, instant now)
+void slow_start::update_sent_time(const replica& target, instant sent_at, instant now)
 {
 	const auto found = states_.find(target.id);
 	if (found == states_.end())
--- a/tests/platform/cold_limits.cpp
+++ b/tests/platform/cold_limits.cpp
@@ -22,7 +22,7 @@
 	const auto* service = (*limited)->find_service(service_id{"x"});
 	REQUIRE(service->cold);
 	CHECK(service->cold->requests_per_s == 13);
-	CHECK(service->cold->start_time == std::chrono::seconds{3});
+	CHECK(service->cold->warmup_time == std::chrono::seconds{3});
 	CHECK_FALSE(
 		(*read_with({{"cold_start_s", 0.0}, {"cold_per_s", 0.0}}))->find_service(service_id{"x"})->cold);
 	CHECK_FALSE((*read_with(json::object()))->find_service(service_id{"x"})->cold);
--- a/tests/platform/replica_entries.cpp
+++ b/tests/platform/replica_entries.cpp
@@ -81,13 +81,13 @@
 TEST_CASE("a replica's entry tells how long it is cold, or does not say", "[platform][entries][slow_start]")
 {
 	auto entry = whole_entry();
-	CHECK(platform::read_replica(row_of(entry.dump()))->cold_left == duration{0});
+	CHECK(platform::read_replica(row_of(entry.dump()))->remaining_warmup == duration{0});
 	entry["cold_remaining_ms"] = 2750;
-	CHECK(platform::read_replica(row_of(entry.dump()))->cold_left == std::chrono::milliseconds{2750});
+	CHECK(platform::read_replica(row_of(entry.dump()))->remaining_warmup == std::chrono::milliseconds{2750});
 	entry["cold_remaining_ms"] = std::numeric_limits<std::uint64_t>::max();
-	CHECK(platform::read_replica(row_of(entry.dump()))->cold_left == std::chrono::hours{24});
+	CHECK(platform::read_replica(row_of(entry.dump()))->remaining_warmup == std::chrono::hours{24});
 	entry.erase("cold_remaining_ms");
-	CHECK_FALSE(platform::read_replica(row_of(entry.dump()))->cold_left);
+	CHECK_FALSE(platform::read_replica(row_of(entry.dump()))->remaining_warmup);
 }
 
 TEST_CASE("a state that is not known names no replica to use", "[platform][entries]")
--- a/tests/routing/restarted_replica.cpp
+++ b/tests/routing/restarted_replica.cpp
@@ -150,17 +150,18 @@
 {
 	restart_fixture fixture;
 	auto cold = make_process("r0", 1000);
-	cold.cold_left = milliseconds{1500};
+	cold.remaining_warmup = milliseconds{1500};
 	fixture.set.put(cold, at(milliseconds{0}));
-	cold.cold_left = milliseconds{300};
+	cold.remaining_warmup = milliseconds{300};
 	fixture.set.put(cold, at(milliseconds{1200}));
-	CHECK(fixture.changes == std::vector{replica_change::cold_time, replica_change::cold_time});
-	CHECK(fixture.set.find(replica_id{"r0"})->cold_left == milliseconds{300});
-	cold.cold_left = milliseconds{0};
+	CHECK(fixture.changes ==
+		  std::vector{replica_change::remaining_warmup_changed, replica_change::remaining_warmup_changed});
+	CHECK(fixture.set.find(replica_id{"r0"})->remaining_warmup == milliseconds{300});
+	cold.remaining_warmup = milliseconds{0};
 	cold.slots = 7;
 	fixture.set.put(cold, at(milliseconds{2400}));
 	cold.leaving = true;
-	cold.cold_left = milliseconds{900};
+	cold.remaining_warmup = milliseconds{900};
 	fixture.set.put(cold, at(milliseconds{3600}));
 	CHECK(fixture.changes.at(2) == replica_change::changed);
 	CHECK(fixture.changes.at(3) == replica_change::leaving);
--- a/tests/routing/slow_start.cpp
+++ b/tests/routing/slow_start.cpp
@@ -35,7 +35,7 @@
 replica cold_replica(milliseconds left)
 {
 	auto created = make_replica("r1");
-	created.cold_left = left;
+	created.remaining_warmup = left;
 	return created;
 }
 
@@ -74,7 +74,7 @@
 	{
 		auto created = std::make_unique<fleet_vm>();
 		created->started = now;
-		created->cold.note_told(target, now);
+		created->cold.apply_entry(target, now);
 		number < fleet.size() ? void(fleet[number] = std::move(created))
 							  : fleet.push_back(std::move(created));
 	};
@@ -141,7 +141,7 @@
 			auto& cold = vm.cold;
 			vm.vms.set(vm_named(i), vms_up_to(vms), at(seconds{0}));
 			vm.vms.confirm(now);
-			cold.note_told(target, now);
+			cold.apply_entry(target, now);
 			while (cold.allows_request(target, now))
 			{
 				cold.record_sent(target, now);
@@ -158,7 +158,7 @@
 	cold_vm vm;
 	auto& cold = vm.cold;
 	const auto target = cold_replica(seconds{60});
-	cold.note_told(target, at(seconds{0}));
+	cold.apply_entry(target, at(seconds{0}));
 	CHECK_FALSE(cold.allows_request(target, at(seconds{0})));
 	vm.vms.set(vm_named(0), vms_up_to(2), at(seconds{0}));
 	vm.vms.confirm(at(seconds{4}));
@@ -175,13 +175,13 @@
 {
 	cold_vm vm;
 	auto& cold = vm.cold;
-	cold.note_told(cold_replica(milliseconds{2000}), at(seconds{0}));
-	cold.note_told(cold_replica(milliseconds{300}), at(milliseconds{500}));
+	cold.apply_entry(cold_replica(milliseconds{2000}), at(seconds{0}));
+	cold.apply_entry(cold_replica(milliseconds{300}), at(milliseconds{500}));
 	const auto target = make_replica("r1");
 	CHECK(cold.is_cold(target, at(milliseconds{1999})));
 	CHECK_FALSE(cold.is_cold(target, at(seconds{2})));
 	CHECK(cold.allows_request(target, at(seconds{2})));
-	cold.note_unknown(target, cold_reason::unreachable, at(seconds{2}));
+	cold.assume_cold(target, cold_reason::unreachable, at(seconds{2}));
 	CHECK(cold.is_cold(target, at(milliseconds{4999})));
 	CHECK(cold.time_until_warm(service_id{"s"}, at(seconds{4})) == seconds{1});
 	CHECK_FALSE(cold.time_until_warm(service_id{"s"}, at(seconds{5})));
@@ -192,8 +192,8 @@
 	const fleet_list vms;
 	slow_start cold{vms, [](const replica&, cold_reason, duration) { FAIL("nothing is cold"); }};
 	const auto target = cold_replica(seconds{60});
-	cold.note_told(target, at(seconds{0}));
-	cold.note_unknown(target, cold_reason::evacuated, at(seconds{0}));
+	cold.apply_entry(target, at(seconds{0}));
+	cold.assume_cold(target, cold_reason::evacuated, at(seconds{0}));
 	CHECK(cold.allows_request(target, at(seconds{0})));
 	CHECK(cold.cold_count(at(seconds{0})) == 0);
 }
@@ -205,10 +205,10 @@
 	const auto target = cold_replica(seconds{60});
 	vm.vms.set(vm_named(0), vms_up_to(13), at(seconds{0}));
 	vm.vms.confirm(at(seconds{8}));
-	cold.note_told(target, at(seconds{8}));
+	cold.apply_entry(target, at(seconds{8}));
 	cold.record_sent(target, at(seconds{8}));
 	CHECK_FALSE(cold.allows_request(target, at(seconds{8})));
-	cold.note_left(target, at(seconds{8}), at(milliseconds{8400}));
+	cold.update_sent_time(target, at(seconds{8}), at(milliseconds{8400}));
 	CHECK_FALSE(cold.allows_request(target, at(milliseconds{9100})));
 	CHECK(cold.allows_request(target, at(milliseconds{9500})));
 }
