--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -158,7 +158,7 @@
 	[[nodiscard]] bool takes_requests(bool is_stream, instant now) const;
 
 	/// \brief True once a configuration and the replicas are known.
-	[[nodiscard]] bool ready() const { return catalog_ != nullptr && replicas_.known(); }
+	[[nodiscard]] bool ready() const { return catalog_ != nullptr && replicas_.is_loaded(); }
 
 	/// \brief Calls a hook once, later, as soon as `ready` holds.
 	void when_ready(std::function<void()> hook) { ready_hooks_.push_back(std::move(hook)); }
--- a/include/gingerdyke/routing/replica_set.hpp
+++ b/include/gingerdyke/routing/replica_set.hpp
@@ -109,16 +109,16 @@
 	void replace_all(std::vector<replica> entries, instant now);
 
 	/// \brief Records that the registry cannot be read.
-	void note_unsound(instant now);
+	void mark_registry_unavailable(instant now);
 
 	/// \brief Records that the registry answered.
 	/// \param at When it did; earlier than now if the snapshot comes from another VM.
-	void note_sound(instant at);
+	void mark_registry_available(instant at);
 
 	/// \brief Records a replica's own announcement that it is leaving. It holds until the process has
 	/// exited, whatever its entry says.
 	/// \returns Whether the announcement was not known before.
-	bool note_leaving(const replica& target, instant now);
+	bool mark_leaving(const replica& target, instant now);
 
 	/// \brief Removes a replica because the process at its address answered that it is a different replica.
 	void forget(const replica_id& id);
@@ -129,17 +129,17 @@
 
 	/// \brief Whether suspected replicas of a service are excluded from choices because enough other
 	/// replicas have their entries.
-	[[nodiscard]] bool avoids_suspected(const service_id& service) const;
+	[[nodiscard]] bool excludes_suspected(const service_id& service) const;
 
 	/// \brief Whether a replica may be sent new requests: it is known as this process, is not leaving, and
 	/// is not excluded.
-	[[nodiscard]] bool takes_work(const replica& target) const;
+	[[nodiscard]] bool accepts_requests(const replica& target) const;
 
 	/// \brief Whether the given process is the current one of its replica id.
 	[[nodiscard]] bool is_current(const replica& target) const;
 
 	/// \brief Returns the replicas of a service, including leaving ones.
-	[[nodiscard]] const std::vector<replica_ptr>& of(const service_id& service) const;
+	[[nodiscard]] const std::vector<replica_ptr>& of_service(const service_id& service) const;
 
 	/// \brief Finds a replica by its id, or null.
 	[[nodiscard]] replica_ptr find(const replica_id& id) const;
@@ -156,7 +156,7 @@
 	[[nodiscard]] std::size_t suspected_count() const noexcept { return suspected_.size(); }
 
 	/// \brief Whether the registry has been read at least once.
-	[[nodiscard]] bool known() const noexcept { return is_loaded_; }
+	[[nodiscard]] bool is_loaded() const noexcept { return is_loaded_; }
 
   private:
 	[[nodiscard]] bool is_registry_stable(instant now) const;
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -70,10 +70,10 @@
 			  [this](instant newest_at, registry_time)
 			  {
 				  gateway_.confirm_replicas(newest_at);
-				  gateway_.replicas().note_sound(newest_at);
+				  gateway_.replicas().mark_registry_available(newest_at);
 				  expire_replicas();
 			  },
-			  [this](store_error) { gateway_.replicas().note_unsound(proxy::steady_now()); }},
+			  [this](store_error) { gateway_.replicas().mark_registry_unavailable(proxy::steady_now()); }},
 		  {.wait = tuning_.replica_wait, .gather = tuning_.gather}),
 	  own_(gateway.context(), store_, layout_.own_table, random,
 		  {[this](const auto& rows) { on_own_rows(rows); }, [this](const auto& rows) { on_own_rows(rows); },
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -48,7 +48,7 @@
 	// What counted as cold, or as limited, when it was chosen has its share already.
 	const bool has_cold_share = attempt_->is_cold || shared_.cold_replicas().takes(to, now);
 	const bool has_limit_share = attempt_->is_limited || shared_.announced().takes(to, now);
-	return shared_.replicas().takes_work(to) && !shared_.evacuated().contains(to.domain) &&
+	return shared_.replicas().accepts_requests(to) && !shared_.evacuated().contains(to.domain) &&
 		   !shared_.resting().is_backing_off(to, now) && has_cold_share && has_limit_share;
 }
 
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -241,7 +241,7 @@
 		first->retry_after = std::max(first->retry_after, tuning_.retry_after);
 		return *first;
 	}
-	const auto& all = replicas_.of(service);
+	const auto& all = replicas_.of_service(service);
 	const bool is_evacuated = std::any_of(
 		all.begin(), all.end(), [this](const auto& one) { return evacuated_.contains(one->domain); });
 	const bool all_leave =
@@ -348,7 +348,7 @@
 
 void gateway::note_leaving(const routing::replica& from, const std::string& request)
 {
-	if (replicas_.note_leaving(from, steady_now()))
+	if (replicas_.mark_leaving(from, steady_now()))
 	{
 		log::write(log::level::info, "replica says that it leaves",
 			{{"replica", from.id.str()}, {"service", from.service.str()}, {"request", request}});
@@ -390,7 +390,7 @@
 	// One that said that it leaves, or whose entry went, ends whatever runs there. The entry of the next
 	// process under its id tells of no leave.
 	const auto entry = replicas_.find(end.replica->id);
-	const bool was_expected = !entry || !replicas_.takes_work(*entry);
+	const bool was_expected = !entry || !replicas_.accepts_requests(*entry);
 	log_replica_end(end, was_expected);
 	was_expected ? suspects_.retract(end.life) : suspects_.confirm(end.life, together, now);
 	cold_replicas_.assume_cold(*end.replica, routing::cold_reason::unreachable, now);
@@ -435,7 +435,7 @@
 		change == routing::replica_change::restarted || change == routing::replica_change::added;
 	cold_replicas_.apply_entry(one, now);
 	// Of replicas that were there before this VM nothing is known to have started.
-	if (has_started && !one.remaining_warmup && replicas_.known())
+	if (has_started && !one.remaining_warmup && replicas_.is_loaded())
 	{
 		cold_replicas_.assume_cold(one, routing::cold_reason::started, now);
 	}
@@ -449,7 +449,7 @@
 		return;
 	}
 	// The first reading of the registry is told as a whole.
-	if (replicas_.known())
+	if (replicas_.is_loaded())
 	{
 		log_replica(one, change);
 	}
@@ -474,6 +474,6 @@
 	{
 		pool_.drop(one.id);
 	}
-	versions_.note_replicas(one.service, replicas_.of(one.service));
+	versions_.note_replicas(one.service, replicas_.of_service(one.service));
 }
 } // namespace gingerdyke::proxy
--- a/src/routing/replica_selector.cpp
+++ b/src/routing/replica_selector.cpp
@@ -32,8 +32,8 @@
 	candidates unreachable;
 	// A replica that removes its registry entry without having announced that it drains shows only by the
 	// missing entry.
-	const bool excludes_suspected = replicas_.avoids_suspected(request.service);
-	for (const auto& candidate : replicas_.of(request.service))
+	const bool excludes_suspected = replicas_.excludes_suspected(request.service);
+	for (const auto& candidate : replicas_.of_service(request.service))
 	{
 		const bool is_excluded = excludes_suspected && replicas_.is_suspected(candidate->id);
 		if (candidate->leaving || is_excluded || !request.usable(*candidate))
@@ -225,7 +225,8 @@
 	stats.failure_rate += weight * (value - stats.failure_rate);
 	// The service's failure rate is averaged over all its replicas, so each result has a smaller weight.
 	auto& service_rate = service_failure_rates_[target.service];
-	const auto peers = static_cast<double>(std::max<std::size_t>(1, replicas_.of(target.service).size()));
+	const auto peers =
+		static_cast<double>(std::max<std::size_t>(1, replicas_.of_service(target.service).size()));
 	service_rate += weight / peers * (value - service_rate);
 
 	if (result == replica_result::answered)
--- a/src/routing/replica_set.cpp
+++ b/src/routing/replica_set.cpp
@@ -86,7 +86,7 @@
 	changed_(*stored, change);
 }
 
-bool replica_set::note_leaving(const replica& target, instant now)
+bool replica_set::mark_leaving(const replica& target, instant now)
 {
 	const auto current = find(target.id);
 	const bool is_previous_process = current && !current->is_same_process(target);
@@ -157,14 +157,14 @@
 	is_loaded_ = true;
 }
 
-void replica_set::note_unsound(instant now)
+void replica_set::mark_registry_unavailable(instant now)
 {
 	previous_uptime_ = registry_uptime(now);
 	is_registry_available_ = false;
 	registry_down_since_ = now;
 }
 
-void replica_set::note_sound(instant at)
+void replica_set::mark_registry_available(instant at)
 {
 	if (!is_registry_available_)
 	{
@@ -208,19 +208,19 @@
 	return next;
 }
 
-bool replica_set::avoids_suspected(const service_id& service) const
+bool replica_set::excludes_suspected(const service_id& service) const
 {
 	if (suspected_.empty())
 	{
 		return false;
 	}
-	const auto& all = of(service);
+	const auto& all = of_service(service);
 	const auto missing = std::count_if(
 		all.begin(), all.end(), [this](const auto& candidate) { return is_suspected(candidate->id); });
 	return static_cast<double>(missing) <= tuning_.max_excluded_share * static_cast<double>(all.size());
 }
 
-const std::vector<replica_ptr>& replica_set::of(const service_id& service) const
+const std::vector<replica_ptr>& replica_set::of_service(const service_id& service) const
 {
 	static const std::vector<replica_ptr> none;
 	const auto found = by_service_.find(service);
@@ -244,14 +244,14 @@
 	return found == by_id_.end() ? nullptr : found->second;
 }
 
-bool replica_set::takes_work(const replica& target) const
+bool replica_set::accepts_requests(const replica& target) const
 {
 	const auto current = find(target.id);
 	if (!current || current->leaving || !current->is_same_process(target))
 	{
 		return false;
 	}
-	return !is_suspected(target.id) || !avoids_suspected(current->service);
+	return !is_suspected(target.id) || !excludes_suspected(current->service);
 }
 
 bool replica_set::is_current(const replica& target) const
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -412,7 +412,7 @@
 	}
 	SECTION("its entry goes")
 	{
-		gateway.replicas().note_sound(proxy::steady_now() - std::chrono::hours{1});
+		gateway.replicas().mark_registry_available(proxy::steady_now() - std::chrono::hours{1});
 		gateway.replicas().remove(id, proxy::steady_now());
 	}
 	world.run_until([&] { return caller.has_answer(); });
--- a/tests/routing/told_leave.cpp
+++ b/tests/routing/leaving_replica.cpp
@@ -43,8 +43,8 @@
 		set.replace_all({}, now);
 		return;
 	default:
-		set.note_unsound(now);
-		set.note_sound(now + milliseconds{100});
+		set.mark_registry_unavailable(now);
+		set.mark_registry_available(now + milliseconds{100});
 	}
 }
 } // namespace
@@ -65,15 +65,15 @@
 			apply_random_update(set, random, at(elapsed));
 			if (i == announced_at)
 			{
-				set.note_leaving(make_process(1), at(elapsed));
+				set.mark_leaving(make_process(1), at(elapsed));
 			}
 			if (i >= announced_at)
 			{
-				CHECK_FALSE(set.takes_work(make_process(1)));
+				CHECK_FALSE(set.accepts_requests(make_process(1)));
 			}
 		}
 		set.put(make_process(2), at(elapsed));
-		CHECK(set.takes_work(make_process(2)));
+		CHECK(set.accepts_requests(make_process(2)));
 	}
 }
 
@@ -81,15 +81,15 @@
 {
 	replica_set set{[](const replica&, replica_change) {}};
 	set.put(make_process(2), at(milliseconds{0}));
-	CHECK_FALSE(set.note_leaving(make_process(1), at(milliseconds{1})));
-	CHECK(set.takes_work(make_process(2)));
+	CHECK_FALSE(set.mark_leaving(make_process(1), at(milliseconds{1})));
+	CHECK(set.accepts_requests(make_process(2)));
 }
 
 TEST_CASE("announcements of replicas that are gone expire", "[routing][leaving]")
 {
 	replica_set set{[](const replica&, replica_change) {}};
-	CHECK(set.note_leaving(make_process(1), at(milliseconds{0})));
-	CHECK_FALSE(set.note_leaving(make_process(1), at(milliseconds{1})));
+	CHECK(set.mark_leaving(make_process(1), at(milliseconds{0})));
+	CHECK_FALSE(set.mark_leaving(make_process(1), at(milliseconds{1})));
 	set.put(make_replica("r2"), at(minutes{6}));
-	CHECK(set.note_leaving(make_process(1), at(minutes{6})));
+	CHECK(set.mark_leaving(make_process(1), at(minutes{6})));
 }
--- a/tests/routing/missing_replica.cpp
+++ b/tests/routing/missing_replica.cpp
@@ -26,7 +26,7 @@
 {
 	explicit replica_fixture(int count)
 	{
-		set.note_sound(at(milliseconds{-60000}));
+		set.mark_registry_available(at(milliseconds{-60000}));
 		std::vector<replica> entries;
 		entries.reserve(static_cast<std::size_t>(count));
 		for (int i = 0; i < count; ++i)
@@ -39,8 +39,8 @@
 	/// The registry is unavailable from one moment to another.
 	void outage(milliseconds from, milliseconds to)
 	{
-		set.note_unsound(at(from));
-		set.note_sound(at(to));
+		set.mark_registry_unavailable(at(from));
+		set.mark_registry_available(at(to));
 		set.expire(at(to));
 	}
 
--- a/tests/routing/restarted_replica.cpp
+++ b/tests/routing/restarted_replica.cpp
@@ -29,7 +29,7 @@
 {
 	restart_fixture()
 	{
-		set.note_sound(at(milliseconds{-60000}));
+		set.mark_registry_available(at(milliseconds{-60000}));
 		set.replace_all({make_process("r0", 1000), make_process("r1", 1000)}, at(milliseconds{-60000}));
 		changes.clear();
 	}
@@ -72,7 +72,7 @@
 	fixture.restart();
 	REQUIRE(fixture.changes.size() == 1);
 	CHECK(fixture.changes.front() == replica_change::restarted);
-	CHECK(fixture.set.of(service_id{"s"}).size() == 2);
+	CHECK(fixture.set.of_service(service_id{"s"}).size() == 2);
 	CHECK(fixture.set.find(replica_id{"r0"})->incarnation == replica_incarnation{2000});
 }
 
@@ -80,10 +80,10 @@
 {
 	restart_fixture fixture;
 	const auto before = *fixture.set.find(replica_id{"r0"});
-	CHECK(fixture.set.takes_work(before));
+	CHECK(fixture.set.accepts_requests(before));
 	fixture.restart();
-	CHECK_FALSE(fixture.set.takes_work(before));
-	CHECK(fixture.set.takes_work(*fixture.set.find(replica_id{"r0"})));
+	CHECK_FALSE(fixture.set.accepts_requests(before));
+	CHECK(fixture.set.accepts_requests(*fixture.set.find(replica_id{"r0"})));
 }
 
 TEST_CASE("an ejection ends with the process that was ejected", "[routing][restart]")
@@ -123,7 +123,7 @@
 	restart_fixture fixture;
 	const auto one = *fixture.set.find(replica_id{"r0"});
 	fixture.selector.record_result(one, replica_result::not_connected, duration{}, at(milliseconds{0}));
-	fixture.set.note_unsound(at(milliseconds{10}));
+	fixture.set.mark_registry_unavailable(at(milliseconds{10}));
 	fixture.set.remove(replica_id{"r0"}, at(milliseconds{20}));
 	fixture.set.put(one, at(milliseconds{30}));
 	CHECK(fixture.chosen() == std::set<std::string>{"r1"});
--- a/tests/routing/routing.cpp
+++ b/tests/routing/routing.cpp
@@ -20,7 +20,7 @@
 {
 	replica_fixture()
 	{
-		set.note_sound(at(milliseconds{-60000}));
+		set.mark_registry_available(at(milliseconds{-60000}));
 		set.replace_all({make_replica("a")}, at(milliseconds{-60000}));
 		changes.clear();
 	}
@@ -83,11 +83,11 @@
 	"[replicas]")
 {
 	replica_fixture fixture;
-	fixture.set.note_unsound(at(milliseconds{0}));
-	fixture.set.note_sound(at(milliseconds{5000}));
+	fixture.set.mark_registry_unavailable(at(milliseconds{0}));
+	fixture.set.mark_registry_available(at(milliseconds{5000}));
 	fixture.set.remove(replica_id{"a"}, at(milliseconds{5000}));
 	CHECK(fixture.changes == std::vector{replica_change::suspected});
-	CHECK(fixture.set.of(service_id{"s"}).size() == 1);
+	CHECK(fixture.set.of_service(service_id{"s"}).size() == 1);
 
 	SECTION("the entry returns")
 	{
@@ -105,7 +105,7 @@
 	}
 	SECTION("the registry is lost again before")
 	{
-		fixture.set.note_unsound(at(milliseconds{6000}));
+		fixture.set.mark_registry_unavailable(at(milliseconds{6000}));
 		CHECK_FALSE(fixture.set.expire(at(milliseconds{20000})));
 		CHECK(fixture.set.size() == 1);
 	}
@@ -117,7 +117,7 @@
 	auto leaving = make_replica("a");
 	leaving.leaving = true;
 	fixture.set.put(leaving, at(milliseconds{0}));
-	fixture.set.note_unsound(at(milliseconds{100}));
+	fixture.set.mark_registry_unavailable(at(milliseconds{100}));
 	fixture.set.remove(replica_id{"a"}, at(milliseconds{200}));
 	CHECK(fixture.changes == std::vector{replica_change::leaving, replica_change::gone});
 }
