--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -16,7 +16,7 @@
 #include <gingerdyke/routing/backoff_periods.hpp>
 #include <gingerdyke/routing/catalog.hpp>
 #include <gingerdyke/routing/evacuated_domains.hpp>
-#include <gingerdyke/routing/first_token_time.hpp>
+#include <gingerdyke/routing/first_token_estimator.hpp>
 #include <gingerdyke/routing/fleet_list.hpp>
 #include <gingerdyke/routing/replica_selector.hpp>
 #include <gingerdyke/routing/replica_set.hpp>
@@ -216,7 +216,7 @@
 	[[nodiscard]] limits::attempt_budget& budget(const service_id& service);
 
 	/// \brief How long a service's engines take to their first token.
-	[[nodiscard]] routing::first_token_time& first_tokens(const service_id& service)
+	[[nodiscard]] routing::first_token_estimator& first_tokens(const service_id& service)
 	{
 		return first_tokens_[service];
 	}
@@ -271,7 +271,7 @@
 	std::set<replica_id> unreadable_replicas_;
 	rollout::version_shift versions_;
 	routing::size_policy sizes_;
-	std::map<service_id, routing::first_token_time> first_tokens_;
+	std::map<service_id, routing::first_token_estimator> first_tokens_;
 	std::map<service_id, limits::attempt_budget> budgets_;
 	std::optional<instant> confirmed_at_;
 	std::optional<instant> replicas_confirmed_at_;
--- a/include/gingerdyke/routing/first_token_time.hpp
+++ b/include/gingerdyke/routing/first_token_estimator.hpp
@@ -7,7 +7,7 @@
 
 namespace gingerdyke::routing
 {
-/// \brief Tuning of `first_token_time`.
+/// \brief Tuning of `first_token_estimator`.
 struct first_token_tuning
 {
 	/// Prompt tokens that an engine processes per millisecond with its largest model, assumed while no
@@ -27,15 +27,15 @@
 /// \brief Predicts the time to first token from the queued work, both as observed by the router. The effect
 /// of what the router does not see (work of other VMs that is reported late, generated tokens) is part of
 /// the learned ratio.
-class first_token_time
+class first_token_estimator
 {
   public:
-	explicit first_token_time(first_token_tuning tuning = {}) : tuning_(tuning) {}
+	explicit first_token_estimator(first_token_tuning tuning = {}) : tuning_(tuning) {}
 
 	/// \brief Records a response.
 	/// \param work Prompt tokens to process before its first token, those of its own prompt included.
 	/// \param took Time from sending the request to the first token.
-	void note(double work, duration took, instant now)
+	void record(double work, duration took, instant now)
 	{
 		const auto remaining = remaining_weight(now);
 		work_ = work_ * remaining + work;
--- a/include/gingerdyke/routing/fleet_list.hpp
+++ b/include/gingerdyke/routing/fleet_list.hpp
@@ -49,7 +49,7 @@
 	[[nodiscard]] std::size_t size() const noexcept { return members_.size(); }
 
 	/// \brief Generation of the list, from 1; 0: there is none yet.
-	[[nodiscard]] std::uint64_t number() const noexcept { return generation_; }
+	[[nodiscard]] std::uint64_t generation() const noexcept { return generation_; }
 
 	/// \brief Number of VMs that precede this one in the order of a replica. The order alternates between
 	/// failure domains, so that the first few VMs are in as many of them as possible. Adding a VM to the
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -193,7 +193,7 @@
 	constexpr double least_weight = 0.5;
 	if (is_for_engines() && model_weight() >= least_weight)
 	{
-		shared_.first_tokens(service_id_).note(attempt_->work_ahead, attempt_->first_byte, steady_now());
+		shared_.first_tokens(service_id_).record(attempt_->work_ahead, attempt_->first_byte, steady_now());
 	}
 }
 
--- a/src/routing/fleet_list.cpp
+++ b/src/routing/fleet_list.cpp
@@ -63,10 +63,10 @@
 
 std::size_t fleet_rank::in(const fleet_list& vms) const
 {
-	if (cached_generation_ != vms.number())
+	if (cached_generation_ != vms.generation())
 	{
 		cached_rank_ = vms.rank(replica_);
-		cached_generation_ = vms.number();
+		cached_generation_ = vms.generation();
 	}
 	return cached_rank_;
 }
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -356,7 +356,7 @@
 	constexpr double few_tokens = 10;
 	world.gateway()
 		.first_tokens(service_id{"engine"})
-		.note(few_tokens, std::chrono::hours{1}, proxy::steady_now());
+		.record(few_tokens, std::chrono::hours{1}, proxy::steady_now());
 	scripted_caller caller{world.context, world.port()};
 	caller.send(request_to("POST", "/stream/a", "p", "Model: *\r\nTokens: 9000,100\r\n"));
 	world.run_until([&] { return caller.received().ends_with("0\r\n\r\n"); });
--- a/tests/routing/size_policy.cpp
+++ b/tests/routing/size_policy.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Model sizes: which model answers first, and when its response is discarded.
 #include <catch2/catch.hpp>
-#include <gingerdyke/routing/first_token_time.hpp>
+#include <gingerdyke/routing/first_token_estimator.hpp>
 #include <gingerdyke/routing/size_policy.hpp>
 
 using namespace gingerdyke;
@@ -64,12 +64,12 @@
 	{
 		CAPTURE(speed);
 		instant now{seconds{100}};
-		first_token_time estimator;
+		first_token_estimator estimator;
 		for (int i = 0; i < 300; ++i)
 		{
 			now += milliseconds{300};
 			const double work = 4000 + 500 * (i % 20);
-			estimator.note(work, scaled(milliseconds{1}, work / speed), now);
+			estimator.record(work, scaled(milliseconds{1}, work / speed), now);
 		}
 		CHECK(to_milliseconds(estimator.expected(6000, now)) == Approx(6000 / speed).epsilon(0.1));
 	}
@@ -78,12 +78,12 @@
 TEST_CASE("the estimate follows engines that become slow, and recovers without responses", "[sizes]")
 {
 	instant now{seconds{100}};
-	first_token_time estimator;
+	first_token_estimator estimator;
 	const auto before = estimator.expected(6000, now);
 	for (int i = 0; i < 30; ++i)
 	{
 		now += milliseconds{300};
-		estimator.note(6000, before * 20, now);
+		estimator.record(6000, before * 20, now);
 	}
 	CHECK(estimator.expected(6000, now) > before * 10);
 	// With such an estimate nothing is sent, so no response corrects it.
