--- a/include/gingerdyke/routing/catalog.hpp
+++ b/include/gingerdyke/routing/catalog.hpp
@@ -48,7 +48,7 @@
 	bool is_public{};
 
 	/// Replicas cache prompt prefixes, so requests with a common prefix should go to the same replica.
-	bool keeps_prefixes{};
+	bool caches_prefixes{};
 
 	/// Services that the traffic is split over, by weight; never empty.
 	std::vector<weighted_service> services;
@@ -57,10 +57,10 @@
 	duration time_limit{};
 
 	/// Latency objective: a response that begins within this time meets it.
-	duration objective{};
+	duration latency_objective{};
 
 	/// Longest interval between two events of a stream that meets the objective; none: unbounded.
-	std::optional<duration> longest_pause;
+	std::optional<duration> max_event_interval;
 
 	/// Maximum number of replicas that one request may be sent to.
 	unsigned attempts{1};
@@ -72,7 +72,7 @@
 	std::vector<model_id> models;
 
 	/// \brief Whether a request may be sent again after it may have been executed.
-	[[nodiscard]] bool may_run_again() const noexcept { return streams ? resumable : repeatable; }
+	[[nodiscard]] bool is_retryable() const noexcept { return streams ? resumable : repeatable; }
 };
 
 /// \brief A model that a service's engines run, with its price.
@@ -132,8 +132,8 @@
 {
 	std::size_t header_bytes{16384};
 	std::size_t body_bytes{4U << 20U};
-	duration header_time{std::chrono::seconds{3}};
-	duration idle_time{std::chrono::seconds{15}};
+	duration header_timeout{std::chrono::seconds{3}};
+	duration idle_timeout{std::chrono::seconds{15}};
 };
 
 /// \brief Content of one configuration, before it is indexed.
--- a/include/gingerdyke/routing/size_policy.hpp
+++ b/include/gingerdyke/routing/size_policy.hpp
@@ -67,7 +67,7 @@
 	[[nodiscard]] double threshold(const route& route, duration expected) const
 	{
 		const auto objective_share =
-			to_milliseconds(expected) / std::max(1.0, to_milliseconds(route.objective));
+			to_milliseconds(expected) / std::max(1.0, to_milliseconds(route.latency_objective));
 		const auto threshold_share = (tuning_.zero_threshold_share - objective_share) /
 									 (tuning_.zero_threshold_share - tuning_.full_threshold_share);
 		return tuning_.escalate_below * std::clamp(threshold_share, 0.0, 1.0);
--- a/src/proxy/caller_link.cpp
+++ b/src/proxy/caller_link.cpp
@@ -52,7 +52,7 @@
 void caller_link::start()
 {
 	set_connection_options(socket_);
-	arm_timer(limits_.idle_time);
+	arm_timer(limits_.idle_timeout);
 	read();
 }
 
@@ -205,7 +205,7 @@
 		case state::idle:
 			limits_ = host_->limits();
 			state_ = state::reading_head;
-			arm_timer(limits_.header_time);
+			arm_timer(limits_.header_timeout);
 			break;
 		case state::reading_head:
 			more = read_head();
@@ -254,7 +254,7 @@
 	}
 	parser_->eager(true);
 	state_ = state::reading_body;
-	arm_timer(limits_.idle_time);
+	arm_timer(limits_.idle_timeout);
 	const auto expect = parser_->get()[beast::http::field::expect];
 	if (!parser_->is_done() && has_token({expect.data(), expect.size()}, "100-continue"))
 	{
@@ -386,7 +386,7 @@
 		return;
 	}
 	state_ = state::idle;
-	arm_timer(limits_.idle_time);
+	arm_timer(limits_.idle_timeout);
 	// Posted, so that a run of pipelined requests does not deepen the stack.
 	asio::post(socket_.get_executor(),
 		[self = shared_from_this()]
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -77,7 +77,7 @@
 	}
 	if (attempts_ == 0)
 	{
-		size_ = routing::size_policy::first(*route_, route_->attempts > 1 && route_->may_run_again());
+		size_ = routing::size_policy::first(*route_, route_->attempts > 1 && route_->is_retryable());
 	}
 	const auto replica = choose_replica();
 	if (!replica)
@@ -111,7 +111,7 @@
 	{
 		return std::nullopt;
 	}
-	return std::max(expected - route_->objective, shared_.tuning().retry_after);
+	return std::max(expected - route_->latency_objective, shared_.tuning().retry_after);
 }
 
 routing::replica_ptr exchange::choose_replica() const
@@ -138,7 +138,7 @@
 	std::string version = versions.version_for(service_id_, session_point_, now);
 	routing::selection what;
 	what.service = service_id_;
-	what.affinity = route_->keeps_prefixes ? prompt_.shared_parts : 0;
+	what.affinity = route_->caches_prefixes ? prompt_.shared_parts : 0;
 	what.model_weight = model_weight();
 	what.shared_work = prompt_.shared_tokens * what.model_weight;
 	what.is_engine = is_for_engines();
@@ -245,7 +245,7 @@
 bool exchange::may_try_again() const
 {
 	return attempts_ < route_->attempts && time_left() >= shared_.tuning().least_time &&
-		   (trace_ == trace::not_run || route_->may_run_again()) &&
+		   (trace_ == trace::not_run || route_->is_retryable()) &&
 		   shared_.budget(service_id_).left(steady_now()) >= 1;
 }
 
@@ -266,7 +266,7 @@
 	attempt_->is_cold = shared_.cold_replicas().is_cold(*to, now);
 	attempt_->is_limited = shared_.announced().is_limited(*to);
 	shared_.note_sent(*to, now);
-	attempt_->link = shared_.pool().take(to, route_->may_run_again(), now);
+	attempt_->link = shared_.pool().take(to, route_->is_retryable(), now);
 	attempt_->work_ahead = work_before_first_token(*to);
 	const auto weight = model_weight();
 	attempt_->work = prompt_.tokens_in * weight + prompt_.generating_work() * weight;
@@ -282,7 +282,7 @@
 	hooks.ended = [self] { self->on_end(); };
 	hooks.failed = [self](upstream_fault fault) { self->on_fault(fault); };
 	upstream_request what{write_request(request_, fields_for(*to)), id_, request_.method == "HEAD"};
-	if (route_->may_run_again())
+	if (route_->is_retryable())
 	{
 		what.unacknowledged_limit = shared_.tuning().unacknowledged_limit;
 	}
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -274,9 +274,9 @@
 		on_fault(upstream_fault::bad_answer);
 		return;
 	}
-	if (!batch.events.empty() && route_->longest_pause)
+	if (!batch.events.empty() && route_->max_event_interval)
 	{
-		arm_attempt_timer(scaled(*route_->longest_pause, shared_.tuning().pause_share));
+		arm_attempt_timer(scaled(*route_->max_event_interval, shared_.tuning().pause_share));
 	}
 }
 
@@ -390,7 +390,7 @@
 {
 	const auto& tuning = shared_.tuning();
 	const auto share = route_->streams ? tuning.first_byte_share : tuning.whole_answer_share;
-	return std::max(tuning.shortest_limit, scaled(route_->objective, share));
+	return std::max(tuning.shortest_limit, scaled(route_->latency_objective, share));
 }
 
 void exchange::arm_attempt_timer(duration span)
@@ -416,7 +416,7 @@
 		return;
 	}
 	// Where nothing else can be tried, what is under way may still come.
-	if (!may_try_again() || !route_->may_run_again())
+	if (!may_try_again() || !route_->is_retryable())
 	{
 		return;
 	}
--- a/tests/platform/platform.cpp
+++ b/tests/platform/platform.cpp
@@ -45,10 +45,10 @@
 	const auto* route = catalog.find_route("h", "/a/b");
 	REQUIRE(route != nullptr);
 	CHECK(route->streams);
-	CHECK(route->may_run_again());
+	CHECK(route->is_retryable());
 	CHECK(route->models.size() == 2);
 	CHECK(route->services.size() == 2);
-	CHECK(route->longest_pause == std::chrono::seconds{1});
+	CHECK(route->max_event_interval == std::chrono::seconds{1});
 	CHECK(catalog.find_workspace("k2")->priority == 2U);
 	CHECK(catalog.find_workspace("k3") == nullptr);
 	CHECK(catalog.find_service(service_id{"x"})->connections_per_replica == 360);
--- a/tests/proxy/caller_link.cpp
+++ b/tests/proxy/caller_link.cpp
@@ -75,7 +75,7 @@
 TEST_CASE("a header that does not arrive in time is refused", "[caller]")
 {
 	proxy_world world;
-	world.data.limits.header_time = std::chrono::milliseconds{20};
+	world.data.limits.header_timeout = std::chrono::milliseconds{20};
 	scripted_caller caller{world.context, world.port()};
 	caller.send("GET /safe/a HTTP/1.1\r\n");
 	world.run_until([&] { return caller.ended(); });
--- a/tests/routing/size_policy.cpp
+++ b/tests/routing/size_policy.cpp
@@ -14,7 +14,7 @@
 route make_route(std::size_t models)
 {
 	route result;
-	result.objective = seconds{2};
+	result.latency_objective = seconds{2};
 	for (std::size_t i = 0; i < models; ++i)
 	{
 		result.models.emplace_back("m" + std::to_string(i));
--- a/tests/support/proxy_world.hpp
+++ b/tests/support/proxy_world.hpp
@@ -106,7 +106,7 @@
 		made.path_prefix = prefix;
 		made.services.push_back({service_id{service}, 1});
 		made.time_limit = std::chrono::seconds{30};
-		made.objective = std::chrono::seconds{20};
+		made.latency_objective = std::chrono::seconds{20};
 		return made;
 	}
 
