--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -244,7 +244,7 @@
 	void note_cold(const routing::replica& one, routing::replica_change change, instant now);
 	[[nodiscard]] replica_end_watch::hooks end_hooks();
 	void on_replica_end(
-		const replica_end& end, bool has_ended, const std::vector<quarantine::process_life>& together);
+		const replica_end& end, bool has_ended, const std::vector<quarantine::process_instance>& together);
 	void tell_ready();
 
 	asio::io_context& context_;
--- a/include/gingerdyke/proxy/replica_end_watch.hpp
+++ b/include/gingerdyke/proxy/replica_end_watch.hpp
@@ -14,7 +14,7 @@
 struct replica_end
 {
 	routing::replica_ptr replica;
-	quarantine::process_life life;
+	quarantine::process_instance life;
 	std::vector<quarantine::request_key> requests;
 };
 
@@ -44,7 +44,7 @@
 
 		/// \param together Lives that ended, or probably did, at the same time; empty: it came alone.
 		std::function<void(
-			const replica_end&, bool has_ended, const std::vector<quarantine::process_life>& together)>
+			const replica_end&, bool has_ended, const std::vector<quarantine::process_instance>& together)>
 			settled;
 	};
 
@@ -69,7 +69,7 @@
 	[[nodiscard]] std::optional<replica_end> presume(const routing::replica_ptr& at, instant now);
 	void begin_probe(const replica_end& end);
 	void settle(const replica_end& end, bool has_ended);
-	[[nodiscard]] std::vector<quarantine::process_life> lives_together(instant now);
+	[[nodiscard]] std::vector<quarantine::process_instance> lives_together(instant now);
 
 	asio::io_context& context_;
 	hooks told_;
@@ -78,7 +78,7 @@
 
 	struct recent_end
 	{
-		quarantine::process_life life;
+		quarantine::process_instance life;
 		instant at;
 	};
 
@@ -87,7 +87,7 @@
 	std::vector<std::function<void()>> waiting_;
 
 	/// Lives for which a probe is under way.
-	std::set<quarantine::process_life> probed_;
+	std::set<quarantine::process_instance> probed_;
 
 	/// Probes that outlive this object find it gone.
 	std::shared_ptr<bool> lives_ = std::make_shared<bool>(true);
--- a/include/gingerdyke/quarantine/replica_runs.hpp
+++ b/include/gingerdyke/quarantine/replica_runs.hpp
@@ -17,7 +17,7 @@
 /// \brief Identifies one process of a replica, equally on all VMs. A hash of the replica's id, its
 /// incarnation, and the number of earlier exits under the same id and incarnation, which tells processes of
 /// a replica with unknown incarnation apart.
-using process_life = quantity<struct process_life_tag>;
+using process_instance = quantity<struct process_life_tag>;
 
 /// \brief Outcome of an execution, as far as it tells about the request.
 enum class run_end
@@ -65,7 +65,7 @@
 	[[nodiscard]] bool has_ended(const routing::replica& target) const;
 
 	/// \brief Returns the current process of a replica, or the last one if it has exited.
-	[[nodiscard]] process_life life_of(const routing::replica& target) const;
+	[[nodiscard]] process_instance instance_of(const routing::replica& target) const;
 
 	/// \brief Returns the requests that run on a replica or were abandoned there a moment ago, without
 	/// duplicates.
--- a/include/gingerdyke/quarantine/suspect_list.hpp
+++ b/include/gingerdyke/quarantine/suspect_list.hpp
@@ -12,7 +12,7 @@
 namespace gingerdyke::quarantine
 {
 /// \brief Replica processes that exited, each with the other processes that exited at the same time.
-using ended_lives = std::map<process_life, std::set<process_life>>;
+using ended_lives = std::map<process_instance, std::set<process_instance>>;
 
 /// \brief Evidence against one request. The sets only grow, so reports may arrive in any order and more
 /// than once, from any VM.
@@ -26,7 +26,7 @@
 	ended_lives ended;
 
 	/// Replica processes that completed the request.
-	std::set<process_life> survived;
+	std::set<process_instance> survived;
 
 	auto operator<=>(const suspicion&) const = default;
 };
@@ -96,19 +96,19 @@
 
 	/// \brief Records that a replica process probably exited while it was running some requests, until
 	/// `confirm` or `retract` is called.
-	void presume(process_life life, const std::vector<request_key>& requests, instant now);
+	void presume(process_instance process, const std::vector<request_key>& requests, instant now);
 
 	/// \brief Confirms that a process exited.
 	/// \param simultaneous Processes that exited at the same time, whatever they were running; empty: none
 	/// did.
-	void confirm(process_life life, const std::vector<process_life>& simultaneous, instant now);
+	void confirm(process_instance process, const std::vector<process_instance>& simultaneous, instant now);
 
 	/// \brief Withdraws a presumed exit: the process did not exit, or this cannot be determined.
-	void retract(process_life life);
+	void retract(process_instance process);
 
 	/// \brief Records that a replica process completed a request; no effect unless there is evidence
 	/// against the request.
-	void note_survived(const request_key& key, process_life life, instant now);
+	void note_survived(const request_key& key, process_instance process, instant now);
 
 	/// \brief Merges the evidence of another VM.
 	/// \param last_end When a replica last exited while running the request.
@@ -153,7 +153,7 @@
 		suspicion stored;
 
 		/// Processes whose exit is presumed but not yet confirmed.
-		std::set<process_life> presumed;
+		std::set<process_instance> presumed;
 		instant last_end;
 		instant changed_at;
 
@@ -166,16 +166,18 @@
 
 	[[nodiscard]] const entry* find(const request_key& key, instant now) const;
 	[[nodiscard]] bool has_other_cause(
-		const std::set<process_life>& simultaneous, const suspicion& known) const;
+		const std::set<process_instance>& simultaneous, const suspicion& known) const;
 	/// Whether, for each exit, the processes that exited at the same time without running the request are
 	/// no more than those that exited while running it.
 	[[nodiscard]] bool may_be_half_known(const suspicion& known) const;
 	[[nodiscard]] double weight_of(const suspicion& known) const;
 	[[nodiscard]] bool exceeds_threshold(const suspicion& known, std::size_t additional_exits) const;
-	[[nodiscard]] bool add_simultaneous(suspicion& known, const std::vector<process_life>& lives) const;
+	[[nodiscard]] bool add_simultaneous(
+		suspicion& known, const std::vector<process_instance>& processes) const;
 	[[nodiscard]] bool is_worth_storing(const entry& suspect, bool for_others) const;
 	entry& find_or_add(const request_key& key, instant now);
-	void add_end(suspicion& to, process_life life, const std::set<process_life>& simultaneous) const;
+	void add_end(
+		suspicion& to, process_instance process, const std::set<process_instance>& simultaneous) const;
 	[[nodiscard]] bool merge_evidence(suspicion& into, const suspicion& from) const;
 	void on_change(entry& suspect, instant now);
 	void drop_expired(instant now);
--- a/src/control/report_message.cpp
+++ b/src/control/report_message.cpp
@@ -204,7 +204,7 @@
 	return all;
 }
 
-std::vector<std::int64_t> written(const std::set<quarantine::process_life>& lives)
+std::vector<std::int64_t> written(const std::set<quarantine::process_instance>& lives)
 {
 	std::vector<std::int64_t> all;
 	all.reserve(lives.size());
@@ -215,12 +215,12 @@
 	return all;
 }
 
-std::set<quarantine::process_life> read_lives(const std::vector<std::int64_t>& lives)
+std::set<quarantine::process_instance> read_lives(const std::vector<std::int64_t>& lives)
 {
-	std::set<quarantine::process_life> all;
+	std::set<quarantine::process_instance> all;
 	for (const auto life : lives)
 	{
-		all.insert(quarantine::process_life{life});
+		all.insert(quarantine::process_instance{life});
 	}
 	return all;
 }
@@ -254,7 +254,7 @@
 		added.key = quarantine::request_key{one.key};
 		for (const auto& end : one.ended)
 		{
-			added.ended[quarantine::process_life{end.life}] = read_lives(end.together);
+			added.ended[quarantine::process_instance{end.life}] = read_lives(end.together);
 		}
 		added.survived = read_lives(one.survived);
 	}
--- a/src/control/suspect_rows.cpp
+++ b/src/control/suspect_rows.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-json lives_json(const std::set<quarantine::process_life>& lives)
+json lives_json(const std::set<quarantine::process_instance>& lives)
 {
 	json all = json::array();
 	for (const auto life : lives)
@@ -20,12 +20,12 @@
 	return all;
 }
 
-std::set<quarantine::process_life> lives_of(const json& value)
+std::set<quarantine::process_instance> lives_of(const json& value)
 {
-	std::set<quarantine::process_life> all;
+	std::set<quarantine::process_instance> all;
 	for (const auto& one : value)
 	{
-		all.insert(quarantine::process_life{one.get<std::int64_t>()});
+		all.insert(quarantine::process_instance{one.get<std::int64_t>()});
 	}
 	return all;
 }
@@ -45,7 +45,7 @@
 	quarantine::ended_lives all;
 	for (const auto& one : value)
 	{
-		all[quarantine::process_life{one.at("life").get<std::int64_t>()}] = lives_of(one.at("together"));
+		all[quarantine::process_instance{one.at("life").get<std::int64_t>()}] = lives_of(one.at("together"));
 	}
 	return all;
 }
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -378,7 +378,7 @@
 }
 
 void gateway::on_replica_end(
-	const replica_end& end, bool has_ended, const std::vector<quarantine::process_life>& together)
+	const replica_end& end, bool has_ended, const std::vector<quarantine::process_instance>& together)
 {
 	if (!has_ended)
 	{
--- a/src/proxy/replica_end_watch.cpp
+++ b/src/proxy/replica_end_watch.cpp
@@ -38,7 +38,7 @@
 /// \returns The likely end; none where it is known or looked for already.
 std::optional<replica_end> replica_end_watch::presume(const routing::replica_ptr& at, instant now)
 {
-	const auto life = runs_.life_of(*at);
+	const auto life = runs_.instance_of(*at);
 	if (runs_.has_ended(*at) || probed_.contains(life))
 	{
 		return std::nullopt;
@@ -92,10 +92,10 @@
 	}
 }
 
-std::vector<quarantine::process_life> replica_end_watch::lives_together(instant now)
+std::vector<quarantine::process_instance> replica_end_watch::lives_together(instant now)
 {
 	std::erase_if(recent_, [&](const recent_end& one) { return now - one.at > tuning_.together; });
-	std::vector<quarantine::process_life> lives;
+	std::vector<quarantine::process_instance> lives;
 	if (recent_.size() >= tuning_.least_together)
 	{
 		for (const auto& one : recent_)
--- a/src/quarantine/replica_runs.cpp
+++ b/src/quarantine/replica_runs.cpp
@@ -92,11 +92,12 @@
 	return current != nullptr && current->exited_at.has_value();
 }
 
-process_life replica_runs::life_of(const routing::replica& target) const
+process_instance replica_runs::instance_of(const routing::replica& target) const
 {
 	const auto* current = find(target);
 	const auto previous_exits = current == nullptr ? 0 : current->exit_count - (current->exited_at ? 1 : 0);
-	return process_life{static_cast<std::int64_t>(mix_hash(routing::process_hash(target), previous_exits))};
+	return process_instance{
+		static_cast<std::int64_t>(mix_hash(routing::process_hash(target), previous_exits))};
 }
 
 std::vector<request_key> replica_runs::running_at(const routing::replica& target, instant now) const
--- a/src/quarantine/suspect_list.cpp
+++ b/src/quarantine/suspect_list.cpp
@@ -33,14 +33,15 @@
 namespace
 {
 /// Number of processes among those that exited at the same time that were not running the request.
-std::size_t count_unrelated(const std::set<process_life>& simultaneous, const suspicion& known)
+std::size_t count_unrelated(const std::set<process_instance>& simultaneous, const suspicion& known)
 {
 	return static_cast<std::size_t>(std::count_if(simultaneous.begin(), simultaneous.end(),
-		[&](process_life life) { return !known.ended.contains(life); }));
+		[&](process_instance process) { return !known.ended.contains(process); }));
 }
 } // namespace
 
-bool suspect_list::has_other_cause(const std::set<process_life>& simultaneous, const suspicion& known) const
+bool suspect_list::has_other_cause(
+	const std::set<process_instance>& simultaneous, const suspicion& known) const
 {
 	return count_unrelated(simultaneous, known) >= tuning_.min_unrelated;
 }
@@ -55,7 +56,7 @@
 double suspect_list::weight_of(const suspicion& known) const
 {
 	double weight = 0;
-	for (const auto& [life, simultaneous] : known.ended)
+	for (const auto& [process, simultaneous] : known.ended)
 	{
 		weight += has_other_cause(simultaneous, known) ? tuning_.simultaneous_weight : 1;
 	}
@@ -112,28 +113,29 @@
 	return suspect;
 }
 
-void suspect_list::presume(process_life life, const std::vector<request_key>& requests, instant now)
+void suspect_list::presume(process_instance process, const std::vector<request_key>& requests, instant now)
 {
 	drop_expired(now);
 	for (const auto& key : requests)
 	{
 		auto& suspect = find_or_add(key, now);
-		if (!suspect.known.ended.contains(life))
+		if (!suspect.known.ended.contains(process))
 		{
-			suspect.presumed.insert(life);
+			suspect.presumed.insert(process);
 		}
 	}
 	enforce_max_suspects();
 }
 
-void suspect_list::confirm(process_life life, const std::vector<process_life>& simultaneous, instant now)
+void suspect_list::confirm(
+	process_instance process, const std::vector<process_instance>& simultaneous, instant now)
 {
 	for (auto& [key, suspect] : suspects_)
 	{
-		const bool was_running = suspect.presumed.erase(life) > 0;
+		const bool was_running = suspect.presumed.erase(process) > 0;
 		if (was_running)
 		{
-			add_end(suspect.known, life, {});
+			add_end(suspect.known, process, {});
 			suspect.is_seen_here = true;
 		}
 		const bool is_new = add_simultaneous(suspect.known, simultaneous);
@@ -145,51 +147,52 @@
 }
 
 /// \returns Whether anything was new.
-bool suspect_list::add_simultaneous(suspicion& known, const std::vector<process_life>& lives) const
+bool suspect_list::add_simultaneous(suspicion& known, const std::vector<process_instance>& processes) const
 {
 	bool is_new = false;
-	for (const auto life : lives)
+	for (const auto process : processes)
 	{
-		const auto end = known.ended.find(life);
+		const auto end = known.ended.find(process);
 		if (end == known.ended.end())
 		{
 			continue;
 		}
-		std::set<process_life> others{lives.begin(), lives.end()};
-		others.erase(life);
+		std::set<process_instance> others{processes.begin(), processes.end()};
+		others.erase(process);
 		const auto before = end->second;
-		add_end(known, life, others);
+		add_end(known, process, others);
 		is_new = is_new || end->second != before;
 	}
 	return is_new;
 }
 
-void suspect_list::add_end(suspicion& to, process_life life, const std::set<process_life>& simultaneous) const
+void suspect_list::add_end(
+	suspicion& to, process_instance process, const std::set<process_instance>& simultaneous) const
 {
-	auto& kept = to.ended[life];
+	auto& kept = to.ended[process];
 	kept.insert(simultaneous.begin(), simultaneous.end());
 	keep_smallest(kept, tuning_.max_simultaneous);
 	keep_smallest(to.ended, tuning_.max_processes);
 }
 
-void suspect_list::retract(process_life life)
+void suspect_list::retract(process_instance process)
 {
 	for (auto suspect = suspects_.begin(); suspect != suspects_.end();)
 	{
-		const bool was_presumed = suspect->second.presumed.erase(life) > 0;
+		const bool was_presumed = suspect->second.presumed.erase(process) > 0;
 		const bool is_clear = suspect->second.presumed.empty() && suspect->second.known.ended.empty();
 		suspect = was_presumed && is_clear ? suspects_.erase(suspect) : std::next(suspect);
 	}
 }
 
-void suspect_list::note_survived(const request_key& key, process_life life, instant now)
+void suspect_list::note_survived(const request_key& key, process_instance process, instant now)
 {
 	const auto found = suspects_.find(key);
 	if (found == suspects_.end() || found->second.known.survived.size() >= tuning_.max_processes)
 	{
 		return;
 	}
-	if (found->second.known.survived.insert(life).second)
+	if (found->second.known.survived.insert(process).second)
 	{
 		on_change(found->second, now);
 	}
@@ -223,9 +226,9 @@
 bool suspect_list::merge_evidence(suspicion& into, const suspicion& from) const
 {
 	const auto before = into;
-	for (const auto& [life, simultaneous] : from.ended)
+	for (const auto& [process, simultaneous] : from.ended)
 	{
-		add_end(into, life, simultaneous);
+		add_end(into, process, simultaneous);
 	}
 	into.survived.insert(from.survived.begin(), from.survived.end());
 	keep_smallest(into.survived, tuning_.max_processes);
--- a/tests/control/peer_report.cpp
+++ b/tests/control/peer_report.cpp
@@ -10,9 +10,10 @@
 {
 quarantine::suspicion suspect(const char* key)
 {
-	using quarantine::process_life;
+	using quarantine::process_instance;
 	return {quarantine::request_key{key},
-		{{process_life{-1}, {}}, {process_life{5}, {process_life{6}, process_life{-7}}}}, {process_life{9}}};
+		{{process_instance{-1}, {}}, {process_instance{5}, {process_instance{6}, process_instance{-7}}}},
+		{process_instance{9}}};
 }
 
 routing::limit_update limit_of(const char* replica, std::optional<double> requests_per_s, duration age)
--- a/tests/control/suspect_rows.cpp
+++ b/tests/control/suspect_rows.cpp
@@ -5,7 +5,7 @@
 
 using namespace gingerdyke;
 using namespace gingerdyke::test;
-using quarantine::process_life;
+using quarantine::process_instance;
 using quarantine::request_key;
 using quarantine::suspicion;
 
@@ -39,8 +39,8 @@
 	void end(int life, const char* key)
 	{
 		const auto now = proxy::steady_now();
-		list.presume(process_life{life}, {request_key{key}}, now);
-		list.confirm(process_life{life}, {}, now);
+		list.presume(process_instance{life}, {request_key{key}}, now);
+		list.confirm(process_instance{life}, {}, now);
 		rows.arm();
 	}
 
@@ -60,8 +60,9 @@
 TEST_CASE("a suspicion comes back from its row as it was written", "[quarantine]")
 {
 	stored_suspicion what{
-		{request_key{"k"}, {{process_life{-3}, {}}, {process_life{4}, {process_life{5}, process_life{-6}}}},
-			{process_life{1}}},
+		{request_key{"k"},
+			{{process_instance{-3}, {}}, {process_instance{4}, {process_instance{5}, process_instance{-6}}}},
+			{process_instance{1}}},
 		registry_time{77}};
 	const row written{"own", "suspect/k", write_suspicion(what), row_version{1}, false};
 	const auto read = read_suspicion(written);
@@ -142,15 +143,15 @@
 	for (int i = 0; i < 150; ++i)
 	{
 		many.emplace_back("k" + std::to_string(i));
-		const stored_suspicion old{{request_key{"old" + std::to_string(i)}, {{process_life{1}, {}}}, {}},
+		const stored_suspicion old{{request_key{"old" + std::to_string(i)}, {{process_instance{1}, {}}}, {}},
 			registry_time{seconds{500} - std::chrono::minutes{11}}};
 		vm.rows.on_row({"own", "suspect/" + old.known.key.str(), write_suspicion(old), row_version{1}, false},
 			proxy::steady_now());
 	}
 	for (const int life : {1, 2})
 	{
-		vm.list.presume(process_life{life}, many, proxy::steady_now());
-		vm.list.confirm(process_life{life}, {}, proxy::steady_now());
+		vm.list.presume(process_instance{life}, many, proxy::steady_now());
+		vm.list.confirm(process_instance{life}, {}, proxy::steady_now());
 	}
 	vm.rows.arm();
 	for (std::size_t written = 0; written < many.size(); written += vm.store.changes.front().puts.size())
@@ -215,7 +216,8 @@
 	const auto row_of = [](const char* key, duration age)
 	{
 		const stored_suspicion what{
-			{request_key{key}, {{process_life{1}, {}}, {process_life{2}, {}}, {process_life{3}, {}}}, {}},
+			{request_key{key},
+				{{process_instance{1}, {}}, {process_instance{2}, {}}, {process_instance{3}, {}}}, {}},
 			registry_time{seconds{5000}} - age};
 		return row{"own", std::string{suspect_prefix} + key, write_suspicion(what), row_version{1}, false};
 	};
@@ -231,7 +233,8 @@
 {
 	stored_list vm;
 	const stored_suspicion old{
-		{request_key{"old"}, {{process_life{1}, {}}, {process_life{2}, {}}, {process_life{3}, {}}}, {}},
+		{request_key{"old"},
+			{{process_instance{1}, {}}, {process_instance{2}, {}}, {process_instance{3}, {}}}, {}},
 		registry_time{seconds{500} - std::chrono::minutes{11}}};
 	vm.rows.on_row({"own", "suspect/old", write_suspicion(old), row_version{1}, false}, proxy::steady_now());
 	CHECK_FALSE(vm.list.last_end(request_key{"old"}));
--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -216,8 +216,8 @@
 	}
 	for (const int life : {1, 2})
 	{
-		world.gateway().suspects().presume(quarantine::process_life{life}, keys, proxy::steady_now());
-		world.gateway().suspects().confirm(quarantine::process_life{life}, {}, proxy::steady_now());
+		world.gateway().suspects().presume(quarantine::process_instance{life}, keys, proxy::steady_now());
+		world.gateway().suspects().confirm(quarantine::process_instance{life}, {}, proxy::steady_now());
 	}
 	scripted_caller a{world.context, world.port()};
 	scripted_caller b{world.context, world.port()};
--- a/tests/proxy/replica_end_watch.cpp
+++ b/tests/proxy/replica_end_watch.cpp
@@ -6,7 +6,7 @@
 
 using namespace gingerdyke;
 using namespace gingerdyke::test;
-using quarantine::process_life;
+using quarantine::process_instance;
 using quarantine::request_key;
 
 namespace
@@ -37,7 +37,7 @@
 	std::size_t together = 0;
 	proxy::replica_end_watch watch{context,
 		{[this](const proxy::replica_end&) { ++presumed; },
-			[this](const proxy::replica_end& end, bool has_ended, const std::vector<process_life>& lives)
+			[this](const proxy::replica_end& end, bool has_ended, const std::vector<process_instance>& lives)
 			{
 				CHECK(end.requests == std::vector{request_key{"q"}});
 				settled.push_back(has_ended);
--- a/tests/quarantine/replica_runs.cpp
+++ b/tests/quarantine/replica_runs.cpp
@@ -46,16 +46,16 @@
 {
 	replica_runs runs;
 	static_cast<void>(runs.begin(make_replica(), first, start));
-	const auto life = runs.life_of(make_replica());
+	const auto instance = runs.instance_of(make_replica());
 	CHECK(runs.note_ended(make_replica(), start));
-	CHECK(runs.life_of(make_replica()) == life);
+	CHECK(runs.instance_of(make_replica()) == instance);
 	CHECK_FALSE(runs.note_ended(make_replica(), start));
 	// The exited process may have accepted this connection.
 	runs.note_connected(make_replica(), start - milliseconds{1});
 	CHECK(runs.has_ended(make_replica()));
 	runs.note_connected(make_replica(), start + milliseconds{1});
 	CHECK_FALSE(runs.has_ended(make_replica()));
-	CHECK(runs.life_of(make_replica()) != life);
+	CHECK(runs.instance_of(make_replica()) != instance);
 	CHECK(runs.note_ended(make_replica(), start + milliseconds{2}));
 }
 
@@ -89,7 +89,7 @@
 	replica_runs runs;
 	const auto old_run = runs.begin(make_replica(1), first, start);
 	const auto new_run = runs.begin(make_replica(2), second, start);
-	CHECK(runs.life_of(make_replica(1)) != runs.life_of(make_replica(2)));
+	CHECK(runs.instance_of(make_replica(1)) != runs.instance_of(make_replica(2)));
 	runs.end(make_replica(1), old_run, run_end::given_up, start);
 	CHECK(runs.running_at(make_replica(2), start) == std::vector{second});
 	CHECK(runs.running_at(make_replica(1), start) == std::vector{first});
--- a/tests/quarantine/suspect_list.cpp
+++ b/tests/quarantine/suspect_list.cpp
@@ -17,26 +17,26 @@
 const request_key bystander{"bystander"};
 const instant start{seconds{1000}};
 
-process_life life(int number)
+process_instance process(int number)
 {
-	return process_life{number};
+	return process_instance{number};
 }
 
 /// A list, and the requests that it reported as quarantined.
 struct suspect_fixture
 {
-	void exit_process(
-		int number, const std::vector<request_key>& requests, const std::vector<process_life>& together = {})
+	void exit_process(int number, const std::vector<request_key>& requests,
+		const std::vector<process_instance>& together = {})
 	{
-		list.presume(life(number), requests, start);
-		list.confirm(life(number), together, start);
+		list.presume(process(number), requests, start);
+		list.confirm(process(number), together, start);
 	}
 
 	std::vector<suspicion> held;
 	suspect_list list{[this](const suspicion& one, double) { held.push_back(one); }};
 };
 
-suspicion make_suspicion(const request_key& key, const std::set<process_life>& ended)
+suspicion make_suspicion(const request_key& key, const std::set<process_instance>& ended)
 {
 	suspicion made;
 	made.key = key;
@@ -47,14 +47,14 @@
 	return made;
 }
 
-std::set<process_life> exited_processes(const suspicion& from)
+std::set<process_instance> exited_processes(const suspicion& from)
 {
-	std::set<process_life> lives;
-	for (const auto& [life, together] : from.ended)
+	std::set<process_instance> processes;
+	for (const auto& [process, together] : from.ended)
 	{
-		lives.insert(life);
+		processes.insert(process);
 	}
-	return lives;
+	return processes;
 }
 } // namespace
 
@@ -81,7 +81,7 @@
 	for (int i = 0; i < 5; ++i)
 	{
 		fixture.exit_process(1, {cause});
-		fixture.list.merge(make_suspicion(cause, {life(1), life(2)}), start, start);
+		fixture.list.merge(make_suspicion(cause, {process(1), process(2)}), start, start);
 	}
 	CHECK_FALSE(fixture.list.is_held(cause, start));
 }
@@ -92,20 +92,20 @@
 	fixture.exit_process(1, {cause});
 	fixture.exit_process(2, {cause});
 	CHECK_FALSE(fixture.list.is_open(cause, start));
-	fixture.list.presume(life(3), {cause}, start);
+	fixture.list.presume(process(3), {cause}, start);
 	CHECK(fixture.list.is_open(cause, start));
 	CHECK_FALSE(fixture.list.is_held(cause, start));
-	fixture.list.retract(life(3));
+	fixture.list.retract(process(3));
 	CHECK_FALSE(fixture.list.is_open(cause, start));
 	CHECK_FALSE(fixture.list.is_held(cause, start));
-	fixture.list.presume(life(5), {cause}, start);
-	fixture.list.confirm(life(5), {}, start);
+	fixture.list.presume(process(5), {cause}, start);
+	fixture.list.confirm(process(5), {}, start);
 	CHECK_FALSE(fixture.list.is_open(cause, start));
 	CHECK(fixture.list.is_held(cause, start));
 	fixture.held.clear();
 	CHECK(fixture.held.empty());
-	fixture.list.presume(life(4), {bystander}, start);
-	fixture.list.retract(life(4));
+	fixture.list.presume(process(4), {bystander}, start);
+	fixture.list.retract(process(4));
 	CHECK(fixture.list.size() == 1);
 }
 
@@ -114,11 +114,12 @@
 	suspect_fixture fixture;
 	// The first exit is confirmed before the others of the same loss are known.
 	fixture.exit_process(1, {bystander});
-	fixture.exit_process(2, {bystander}, {life(1), life(2), life(21), life(22)});
+	fixture.exit_process(2, {bystander}, {process(1), process(2), process(21), process(22)});
 	// It was also running during the next losses, and is still served.
 	for (int number = 3; number <= 5; ++number)
 	{
-		fixture.exit_process(number, {bystander}, {life(number), life(20 + number), life(30 + number)});
+		fixture.exit_process(
+			number, {bystander}, {process(number), process(20 + number), process(30 + number)});
 		CHECK_FALSE(fixture.list.is_held(bystander, start));
 	}
 	// After an isolated exit it is quarantined.
@@ -132,7 +133,7 @@
 	suspect_fixture fixture;
 	fixture.exit_process(1, {cause});
 	fixture.exit_process(2, {cause});
-	fixture.exit_process(3, {cause}, {life(1), life(2), life(3), life(4)});
+	fixture.exit_process(3, {cause}, {process(1), process(2), process(3), process(4)});
 	CHECK(fixture.list.is_held(cause, start));
 }
 
@@ -141,7 +142,7 @@
 // replica only, so every exit had half weight and 6 exits instead of 3 were needed for quarantine.
 TEST_CASE("simultaneous exits that one request caused at several VMs have full weight", "[quarantine]")
 {
-	const std::vector<process_life> all{life(1), life(2), life(3)};
+	const std::vector<process_instance> all{process(1), process(2), process(3)};
 	suspect_fixture one;
 	suspect_fixture two;
 	suspect_fixture three;
@@ -165,7 +166,7 @@
 	for (int number = 1; number <= 8; ++number)
 	{
 		fixture.exit_process(number, {bystander, cause});
-		fixture.list.note_survived(bystander, life(100 + number), start);
+		fixture.list.note_survived(bystander, process(100 + number), start);
 	}
 	CHECK(fixture.list.is_held(cause, start));
 	CHECK_FALSE(fixture.list.is_held(bystander, start));
@@ -173,12 +174,12 @@
 
 TEST_CASE("merged reports do not depend on order and repetition", "[quarantine]")
 {
-	std::vector<suspicion> reports{make_suspicion(cause, {life(1)}), make_suspicion(cause, {life(2)}),
-		make_suspicion(cause, {life(1), life(3)}), make_suspicion(bystander, {life(1)}),
-		make_suspicion(bystander, {life(4)})};
-	reports.push_back({cause, {{life(1), {life(2), life(21)}}, {life(2), {}}}, {life(9)}});
-	reports.push_back({cause, {{life(1), {life(22)}}}, {}});
-	reports.push_back({cause, {{life(5), {}}}, {}});
+	std::vector<suspicion> reports{make_suspicion(cause, {process(1)}), make_suspicion(cause, {process(2)}),
+		make_suspicion(cause, {process(1), process(3)}), make_suspicion(bystander, {process(1)}),
+		make_suspicion(bystander, {process(4)})};
+	reports.push_back({cause, {{process(1), {process(2), process(21)}}, {process(2), {}}}, {process(9)}});
+	reports.push_back({cause, {{process(1), {process(22)}}}, {}});
+	reports.push_back({cause, {{process(5), {}}}, {}});
 	for (std::uint64_t seed = 1; seed <= 200; ++seed)
 	{
 		seeded_random random{seed};
@@ -195,11 +196,11 @@
 		REQUIRE(reported.size() == 2);
 		const auto& first = reported.front();
 		CHECK(first.key == cause);
-		CHECK(exited_processes(first) == std::set{life(1), life(2), life(3), life(5)});
-		CHECK(first.ended.at(life(1)) == std::set{life(2), life(21), life(22)});
-		CHECK(first.ended.at(life(2)).empty());
-		CHECK(first.survived == std::set{life(9)});
-		CHECK(exited_processes(reported.back()) == std::set{life(1), life(4)});
+		CHECK(exited_processes(first) == std::set{process(1), process(2), process(3), process(5)});
+		CHECK(first.ended.at(process(1)) == std::set{process(2), process(21), process(22)});
+		CHECK(first.ended.at(process(2)).empty());
+		CHECK(first.survived == std::set{process(9)});
+		CHECK(exited_processes(reported.back()) == std::set{process(1), process(4)});
 	}
 }
 
@@ -211,15 +212,15 @@
 	fixture.exit_process(1, {cause});
 	CHECK(fixture.list.unstored(false, start).empty());
 	CHECK(fixture.list.unstored(true, start).size() == 1);
-	fixture.list.merge(make_suspicion(bystander, {life(2), life(3)}), start, start);
+	fixture.list.merge(make_suspicion(bystander, {process(2), process(3)}), start, start);
 	CHECK(fixture.list.unstored(false, start).empty());
 	fixture.exit_process(4, {cause});
 	REQUIRE(fixture.list.unstored(false, start).size() == 1);
 	const auto stored = fixture.list.unstored(false, start).front();
-	CHECK(exited_processes(stored) == std::set{life(1), life(4)});
+	CHECK(exited_processes(stored) == std::set{process(1), process(4)});
 	fixture.list.note_stored(stored, start, start);
 	CHECK(fixture.list.unstored(false, start).empty());
-	fixture.list.note_stored(make_suspicion(cause, {life(7)}), start, start);
+	fixture.list.note_stored(make_suspicion(cause, {process(7)}), start, start);
 	CHECK(fixture.list.is_held(cause, start));
 	CHECK(fixture.list.unstored(false, start).empty());
 }
@@ -228,7 +229,7 @@
 	"[quarantine]")
 {
 	suspect_fixture fixture;
-	fixture.exit_process(1, {bystander}, {life(1), life(2), life(3), life(4)});
+	fixture.exit_process(1, {bystander}, {process(1), process(2), process(3), process(4)});
 	CHECK(fixture.list.unstored(true, start).empty());
 	fixture.exit_process(5, {bystander});
 	CHECK(fixture.list.unstored(true, start).size() == 1);
@@ -241,10 +242,10 @@
 	for (int exit_count = 5; exit_count <= 20; ++exit_count)
 	{
 		CAPTURE(exit_count);
-		std::vector<process_life> all;
+		std::vector<process_instance> all;
 		for (int number = 1; number <= exit_count; ++number)
 		{
-			all.push_back(life(number));
+			all.push_back(process(number));
 		}
 		suspect_fixture fixture;
 		fixture.exit_process(1, {bystander});
@@ -261,7 +262,7 @@
 {
 	suspect_fixture fixture;
 	fixture.exit_process(1, {bystander});
-	fixture.exit_process(2, {bystander}, {life(1), life(2), life(3), life(4)});
+	fixture.exit_process(2, {bystander}, {process(1), process(2), process(3), process(4)});
 	CHECK(fixture.list.unstored(false, start).empty());
 	CHECK(fixture.list.unstored(true, start).size() == 1);
 	CHECK_FALSE(fixture.list.is_nearly_held(bystander, start));
@@ -274,7 +275,7 @@
 TEST_CASE(
 	"simultaneous exits of which two failure domains know half each are stored and merged", "[quarantine]")
 {
-	const std::vector<process_life> all{life(1), life(2), life(3), life(4)};
+	const std::vector<process_instance> all{process(1), process(2), process(3), process(4)};
 	suspect_fixture one;
 	suspect_fixture other;
 	one.exit_process(1, {cause, bystander}, all);
@@ -296,8 +297,8 @@
 	for (int number = 1; number <= 12; ++number)
 	{
 		reports.push_back(
-			{cause, {{life(number), {life(number + 1), life(number + 2)}}}, {life(50 + number)}});
-		reports.push_back({cause, {{life(number), {life(30), life(31), life(32)}}}, {}});
+			{cause, {{process(number), {process(number + 1), process(number + 2)}}}, {process(50 + number)}});
+		reports.push_back({cause, {{process(number), {process(30), process(31), process(32)}}}, {}});
 	}
 	std::optional<suspicion> all;
 	for (std::uint64_t seed = 1; seed <= 100; ++seed)
@@ -316,7 +317,7 @@
 		all = reported.front();
 	}
 	CHECK(all->ended.size() == suspect_tuning{}.max_processes);
-	CHECK(all->ended.at(life(1)).size() == suspect_tuning{}.max_simultaneous);
+	CHECK(all->ended.at(process(1)).size() == suspect_tuning{}.max_simultaneous);
 }
 
 TEST_CASE("two VMs that know more exits than are kept do not keep overwriting each other", "[quarantine]")
