--- a/include/gingerdyke/proxy/exchange.hpp
+++ b/include/gingerdyke/proxy/exchange.hpp
@@ -35,7 +35,7 @@
 	quarantine::run_number run;
 
 	/// What its end tells about the request, unless it ends otherwise.
-	quarantine::run_end run_ends{quarantine::run_end::given_up};
+	quarantine::run_outcome run_ends{quarantine::run_outcome::abandoned};
 
 	/// Work that the replica is counted to have with it now, in tokens read by the largest model.
 	double work{};
--- a/include/gingerdyke/quarantine/replica_runs.hpp
+++ b/include/gingerdyke/quarantine/replica_runs.hpp
@@ -20,14 +20,14 @@
 using process_instance = quantity<struct process_life_tag>;
 
 /// \brief Outcome of an execution, as far as it tells about the request.
-enum class run_end
+enum class run_outcome
 {
 	/// The replica completed it successfully and kept running.
-	survived,
+	completed,
 	/// The replica completed it with an error, or reports that it did not execute it.
-	over,
+	finished,
 	/// It was cancelled, or its connection broke: the replica may still be executing it.
-	given_up,
+	abandoned,
 };
 
 /// \brief Tuning of `replica_runs`.
@@ -49,20 +49,20 @@
 	[[nodiscard]] run_number begin(const routing::replica& target, request_key key, instant now);
 
 	/// \brief Records the outcome of an execution.
-	void end(const routing::replica& target, run_number run, run_end outcome, instant now);
+	void end(const routing::replica& target, run_number run, run_outcome outcome, instant now);
 
 	/// \brief Records that a replica accepted a connection. If the connection attempt began after the
 	/// replica's exit was recorded, a new process is listening there, whether or not the replica's entry
 	/// shows it yet.
 	/// \param began_at When the connection attempt began.
-	void note_connected(const routing::replica& target, instant began_at);
+	void record_connection(const routing::replica& target, instant began_at);
 
 	/// \brief Records that a replica's process has exited, which also ends all executions on it.
 	/// \returns False if the exit is already recorded or this VM sent no request to that process.
-	bool note_ended(const routing::replica& target, instant now);
+	bool record_exit(const routing::replica& target, instant now);
 
 	/// \brief Whether a replica has exited and accepted no connection since.
-	[[nodiscard]] bool has_ended(const routing::replica& target) const;
+	[[nodiscard]] bool has_exited(const routing::replica& target) const;
 
 	/// \brief Returns the current process of a replica, or the last one if it has exited.
 	[[nodiscard]] process_instance instance_of(const routing::replica& target) const;
@@ -74,7 +74,7 @@
 	/// \brief Records that a replica's entry was removed or replaced by another process's. Executions that
 	/// were sent under the old entry are kept until they end: the next process may have received them
 	/// before its entry was known here.
-	void release(const replica_id& id, instant now);
+	void remove_entry(const replica_id& id, instant now);
 
   private:
 	struct run
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -330,7 +330,7 @@
 {
 	const auto now = steady_now();
 	auto& runs = shared_.ends().runs();
-	if (attempt_->run_ends == quarantine::run_end::survived)
+	if (attempt_->run_ends == quarantine::run_outcome::completed)
 	{
 		shared_.suspects().note_survived(key_, runs.instance_of(*attempt_->to), now);
 	}
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -25,7 +25,7 @@
 /// The connection may have taken hundreds of milliseconds to come up: the replica may have left meanwhile.
 void exchange::on_connected()
 {
-	shared_.ends().runs().note_connected(*attempt_->to, attempt_->sent_at);
+	shared_.ends().runs().record_connection(*attempt_->to, attempt_->sent_at);
 	if (!may_still_send())
 	{
 		take_back_attempt();
@@ -80,7 +80,7 @@
 	note_result(failed ? routing::replica_result::failed : routing::replica_result::answered);
 	if (failed && may_try_again())
 	{
-		attempt_->run_ends = quarantine::run_end::over;
+		attempt_->run_ends = quarantine::run_outcome::finished;
 		tried_.push_back(attempt_->to->id);
 		end_attempt(false);
 		try_again_or([this] { give_up(bad_gateway, "replica failed"); });
@@ -155,7 +155,7 @@
 	const auto to = attempt_->to;
 	const bool is_other = attempt_->head.status == misdirected;
 	trace_ = attempt_->trace_before;
-	attempt_->run_ends = quarantine::run_end::over;
+	attempt_->run_ends = quarantine::run_outcome::finished;
 	note_result(routing::replica_result::refused);
 	tried_.push_back(to->id);
 	end_attempt(false);
@@ -307,7 +307,7 @@
 		on_fault(upstream_fault::cut_answer);
 		return;
 	}
-	attempt_->run_ends = quarantine::run_end::survived;
+	attempt_->run_ends = quarantine::run_outcome::completed;
 	end_attempt(true);
 	to_->end();
 	finish(request_outcome::served, 200, {});
@@ -320,7 +320,7 @@
 	whole_answer answer{status, head.reason, end_to_end(head.fields), std::move(attempt_->body)};
 	first_byte_ = steady_now() - arrived_;
 	const bool failed = status >= first_failure;
-	attempt_->run_ends = failed ? quarantine::run_end::over : quarantine::run_end::survived;
+	attempt_->run_ends = failed ? quarantine::run_outcome::finished : quarantine::run_outcome::completed;
 	end_attempt(true);
 	const auto sink = to_;
 	finish(failed ? request_outcome::failed_by_replica : request_outcome::served, status,
@@ -358,7 +358,7 @@
 void exchange::take_back_attempt()
 {
 	trace_ = attempt_->trace_before;
-	attempt_->run_ends = quarantine::run_end::over;
+	attempt_->run_ends = quarantine::run_outcome::finished;
 	tried_.push_back(attempt_->to->id);
 	end_attempt(false);
 	--attempts_;
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -468,7 +468,7 @@
 		unreadable_replicas_.erase(one.id);
 		pool_.drop(one.id);
 		selector_.forget(one.id);
-		ends_.runs().release(one.id, steady_now());
+		ends_.runs().remove_entry(one.id, steady_now());
 	}
 	if (change == routing::replica_change::leaving)
 	{
--- a/src/proxy/replica_end_watch.cpp
+++ b/src/proxy/replica_end_watch.cpp
@@ -39,7 +39,7 @@
 std::optional<replica_end> replica_end_watch::presume(const routing::replica_ptr& at, instant now)
 {
 	const auto life = runs_.instance_of(*at);
-	if (runs_.has_ended(*at) || probed_.contains(life))
+	if (runs_.has_exited(*at) || probed_.contains(life))
 	{
 		return std::nullopt;
 	}
@@ -80,7 +80,7 @@
 
 void replica_end_watch::settle(const replica_end& end, bool has_ended)
 {
-	const bool is_news = has_ended && runs_.note_ended(*end.replica, steady_now());
+	const bool is_news = has_ended && runs_.record_exit(*end.replica, steady_now());
 	if (!is_news)
 	{
 		std::erase_if(recent_, [&](const recent_end& one) { return one.life == end.life; });
--- a/src/quarantine/replica_runs.cpp
+++ b/src/quarantine/replica_runs.cpp
@@ -42,7 +42,7 @@
 	std::erase_if(target.runs, [&](const run& execution) { return !is_running(execution, now); });
 }
 
-void replica_runs::end(const routing::replica& target, run_number number, run_end outcome, instant now)
+void replica_runs::end(const routing::replica& target, run_number number, run_outcome outcome, instant now)
 {
 	auto* current = find(target);
 	if (current == nullptr)
@@ -56,7 +56,7 @@
 	{
 		return;
 	}
-	if (outcome == run_end::given_up)
+	if (outcome == run_outcome::abandoned)
 	{
 		found->abandoned_at = now;
 		return;
@@ -64,7 +64,7 @@
 	runs.erase(found);
 }
 
-void replica_runs::note_connected(const routing::replica& target, instant began_at)
+void replica_runs::record_connection(const routing::replica& target, instant began_at)
 {
 	auto* current = find(target);
 	if (current != nullptr && current->exited_at && began_at > *current->exited_at)
@@ -73,7 +73,7 @@
 	}
 }
 
-bool replica_runs::note_ended(const routing::replica& target, instant now)
+bool replica_runs::record_exit(const routing::replica& target, instant now)
 {
 	auto* current = find(target);
 	if (current == nullptr || current->exited_at)
@@ -86,7 +86,7 @@
 	return true;
 }
 
-bool replica_runs::has_ended(const routing::replica& target) const
+bool replica_runs::has_exited(const routing::replica& target) const
 {
 	const auto* current = find(target);
 	return current != nullptr && current->exited_at.has_value();
@@ -120,7 +120,7 @@
 	return keys;
 }
 
-void replica_runs::release(const replica_id& id, instant now)
+void replica_runs::remove_entry(const replica_id& id, instant now)
 {
 	for (auto& [key, process] : processes_)
 	{
--- a/tests/proxy/replica_end_watch.cpp
+++ b/tests/proxy/replica_end_watch.cpp
@@ -68,7 +68,7 @@
 	of.break_at(0);
 	of.watch.note_refused(of.entries[0], proxy::steady_now());
 	CHECK(of.presumed == 1);
-	of.watch.runs().note_connected(*of.entries[0], proxy::steady_now());
+	of.watch.runs().record_connection(*of.entries[0], proxy::steady_now());
 	static_cast<void>(of.watch.runs().begin(*of.entries[0], request_key{"q"}, proxy::steady_now()));
 	of.watch.note_refused(of.entries[0], proxy::steady_now());
 	CHECK(of.settled == std::vector{true, true});
--- a/tests/quarantine/replica_runs.cpp
+++ b/tests/quarantine/replica_runs.cpp
@@ -26,10 +26,10 @@
 TEST_CASE("a recently abandoned run still counts as running, a completed one does not", "[quarantine]")
 {
 	replica_runs runs;
-	const auto given_up = runs.begin(make_replica(), first, start);
-	const auto answered = runs.begin(make_replica(), second, start);
-	runs.end(make_replica(), given_up, run_end::given_up, start);
-	runs.end(make_replica(), answered, run_end::survived, start);
+	const auto abandoned = runs.begin(make_replica(), first, start);
+	const auto completed = runs.begin(make_replica(), second, start);
+	runs.end(make_replica(), abandoned, run_outcome::abandoned, start);
+	runs.end(make_replica(), completed, run_outcome::completed, start);
 	CHECK(runs.running_at(make_replica(), start + milliseconds{900}) == std::vector{first});
 	CHECK(runs.running_at(make_replica(), start + milliseconds{1100}).empty());
 }
@@ -37,7 +37,7 @@
 TEST_CASE("two attempts of a request on one replica are reported once", "[quarantine]")
 {
 	replica_runs runs;
-	runs.end(make_replica(), runs.begin(make_replica(), first, start), run_end::given_up, start);
+	runs.end(make_replica(), runs.begin(make_replica(), first, start), run_outcome::abandoned, start);
 	static_cast<void>(runs.begin(make_replica(), first, start));
 	CHECK(runs.running_at(make_replica(), start) == std::vector{first});
 }
@@ -47,26 +47,26 @@
 	replica_runs runs;
 	static_cast<void>(runs.begin(make_replica(), first, start));
 	const auto instance = runs.instance_of(make_replica());
-	CHECK(runs.note_ended(make_replica(), start));
+	CHECK(runs.record_exit(make_replica(), start));
 	CHECK(runs.instance_of(make_replica()) == instance);
-	CHECK_FALSE(runs.note_ended(make_replica(), start));
+	CHECK_FALSE(runs.record_exit(make_replica(), start));
 	// The exited process may have accepted this connection.
-	runs.note_connected(make_replica(), start - milliseconds{1});
-	CHECK(runs.has_ended(make_replica()));
-	runs.note_connected(make_replica(), start + milliseconds{1});
-	CHECK_FALSE(runs.has_ended(make_replica()));
+	runs.record_connection(make_replica(), start - milliseconds{1});
+	CHECK(runs.has_exited(make_replica()));
+	runs.record_connection(make_replica(), start + milliseconds{1});
+	CHECK_FALSE(runs.has_exited(make_replica()));
 	CHECK(runs.instance_of(make_replica()) != instance);
-	CHECK(runs.note_ended(make_replica(), start + milliseconds{2}));
+	CHECK(runs.record_exit(make_replica(), start + milliseconds{2}));
 }
 
 TEST_CASE("requests that ran in a previous process are not running in the next one", "[quarantine]")
 {
 	replica_runs runs;
 	const auto run = runs.begin(make_replica(), first, start);
-	CHECK(runs.note_ended(make_replica(), start));
-	runs.end(make_replica(), run, run_end::given_up, start);
+	CHECK(runs.record_exit(make_replica(), start));
+	runs.end(make_replica(), run, run_outcome::abandoned, start);
 	static_cast<void>(runs.begin(make_replica(), second, start + milliseconds{1}));
-	runs.note_connected(make_replica(), start + milliseconds{1});
+	runs.record_connection(make_replica(), start + milliseconds{1});
 	CHECK(runs.running_at(make_replica(), start + milliseconds{2}) == std::vector{second});
 }
 
@@ -74,13 +74,13 @@
 {
 	replica_runs runs;
 	const auto run = runs.begin(make_replica(1), first, start);
-	runs.release(replica_id{"r"}, start);
+	runs.remove_entry(replica_id{"r"}, start);
 	CHECK(runs.running_at(make_replica(1), start) == std::vector{first});
-	CHECK(runs.note_ended(make_replica(1), start));
-	runs.end(make_replica(1), run, run_end::given_up, start);
-	runs.release(replica_id{"other"}, start);
-	CHECK_FALSE(runs.has_ended(make_replica(1)));
-	CHECK_FALSE(runs.note_ended(make_replica(1), start));
+	CHECK(runs.record_exit(make_replica(1), start));
+	runs.end(make_replica(1), run, run_outcome::abandoned, start);
+	runs.remove_entry(replica_id{"other"}, start);
+	CHECK_FALSE(runs.has_exited(make_replica(1)));
+	CHECK_FALSE(runs.record_exit(make_replica(1), start));
 }
 
 TEST_CASE(
@@ -90,13 +90,13 @@
 	const auto old_run = runs.begin(make_replica(1), first, start);
 	const auto new_run = runs.begin(make_replica(2), second, start);
 	CHECK(runs.instance_of(make_replica(1)) != runs.instance_of(make_replica(2)));
-	runs.end(make_replica(1), old_run, run_end::given_up, start);
+	runs.end(make_replica(1), old_run, run_outcome::abandoned, start);
 	CHECK(runs.running_at(make_replica(2), start) == std::vector{second});
 	CHECK(runs.running_at(make_replica(1), start) == std::vector{first});
-	CHECK(runs.note_ended(make_replica(1), start));
-	CHECK_FALSE(runs.has_ended(make_replica(2)));
+	CHECK(runs.record_exit(make_replica(1), start));
+	CHECK_FALSE(runs.has_exited(make_replica(2)));
 	CHECK(runs.running_at(make_replica(2), start) == std::vector{second});
-	runs.end(make_replica(2), new_run, run_end::over, start);
+	runs.end(make_replica(2), new_run, run_outcome::finished, start);
 	CHECK(runs.running_at(make_replica(2), start).empty());
 }
 
