--- a/include/gingerdyke/quarantine/suspect_list.hpp
+++ b/include/gingerdyke/quarantine/suspect_list.hpp
@@ -90,9 +90,9 @@
 {
   public:
 	/// \brief Called when a request becomes quarantined, with the total weight of its exits.
-	using hold_hook = std::function<void(const suspicion&, double weight)>;
+	using quarantine_hook = std::function<void(const suspicion&, double weight)>;
 
-	explicit suspect_list(hold_hook on_quarantine, suspect_tuning tuning = {});
+	explicit suspect_list(quarantine_hook on_quarantine, suspect_tuning tuning = {});
 
 	/// \brief Records that a replica process probably exited while it was running some requests, until
 	/// `confirm` or `retract` is called.
@@ -121,13 +121,13 @@
 	void forget(const request_key& key) { suspects_.erase(key); }
 
 	/// \brief Whether a request is quarantined.
-	[[nodiscard]] bool is_held(const request_key& key, instant now) const;
+	[[nodiscard]] bool is_quarantined(const request_key& key, instant now) const;
 
 	/// \brief Whether a presumed but unconfirmed exit decides whether a request is quarantined.
-	[[nodiscard]] bool is_open(const request_key& key, instant now) const;
+	[[nodiscard]] bool is_undecided(const request_key& key, instant now) const;
 
 	/// \brief Whether the next exit would quarantine a request.
-	[[nodiscard]] bool is_nearly_held(const request_key& key, instant now) const;
+	[[nodiscard]] bool is_near_quarantine(const request_key& key, instant now) const;
 
 	/// \brief Returns recently changed evidence to report to other VMs.
 	/// \param least_ended Minimum number of exits of the returned requests.
@@ -143,7 +143,7 @@
 	[[nodiscard]] std::optional<instant> last_end(const request_key& key) const;
 
 	/// \brief Number of quarantined requests, and of all suspect requests.
-	[[nodiscard]] std::size_t held_count(instant now) const;
+	[[nodiscard]] std::size_t quarantined_count(instant now) const;
 	[[nodiscard]] std::size_t size() const noexcept { return suspects_.size(); }
 
   private:
@@ -183,7 +183,7 @@
 	void drop_expired(instant now);
 	void enforce_max_suspects();
 
-	hold_hook on_quarantine_;
+	quarantine_hook on_quarantine_;
 	suspect_tuning tuning_;
 	entries suspects_;
 };
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -47,12 +47,12 @@
 		give_up(unavailable, "configuration too old to trust keys");
 		return;
 	}
-	if (shared_.suspects().is_held(key_, now))
+	if (shared_.suspects().is_quarantined(key_, now))
 	{
 		refuse_held();
 		return;
 	}
-	if (shared_.suspects().is_open(key_, now))
+	if (shared_.suspects().is_undecided(key_, now))
 	{
 		// A round trip later it is known whether the replica ended, and whether others did with it.
 		shared_.ends().when_settled(
@@ -117,7 +117,7 @@
 routing::replica_ptr exchange::choose_replica() const
 {
 	const auto now = steady_now();
-	if (shared_.suspects().is_nearly_held(key_, now))
+	if (shared_.suspects().is_near_quarantine(key_, now))
 	{
 		// Both would be blamed for the end of a replica that they share: a request that only stood beside the
 		// cause twice would be held back with it.
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -327,7 +327,7 @@
 	out << "gingerdyke_requests_suspected " << suspects_.size() << "\n";
 	metrics::write_head(
 		out, "gingerdyke_requests_held", "gauge", "Of these, requests that are sent to no replica any more.");
-	out << "gingerdyke_requests_held " << suspects_.held_count(now) << "\n";
+	out << "gingerdyke_requests_held " << suspects_.quarantined_count(now) << "\n";
 	metrics::write_head(out, "gingerdyke_further_attempts_left", "gauge",
 		"Attempts beyond the first that a service's budget allows now.");
 	for (auto& [service, budget] : budgets_)
@@ -407,7 +407,7 @@
 {
 	const auto running = ends_.runs().running_at(at, now);
 	return std::any_of(running.begin(), running.end(),
-		[&](const auto& key) { return key != than && suspects_.is_nearly_held(key, now); });
+		[&](const auto& key) { return key != than && suspects_.is_near_quarantine(key, now); });
 }
 
 /// What was kept for replicas while they got nothing may be lost, whatever their entries said meanwhile.
--- a/src/quarantine/suspect_list.cpp
+++ b/src/quarantine/suspect_list.cpp
@@ -18,7 +18,7 @@
 }
 } // namespace
 
-suspect_list::suspect_list(hold_hook on_quarantine, suspect_tuning tuning)
+suspect_list::suspect_list(quarantine_hook on_quarantine, suspect_tuning tuning)
 	: on_quarantine_(std::move(on_quarantine)), tuning_(tuning)
 {
 }
@@ -85,20 +85,20 @@
 	return for_others && (has_isolated_exit || may_be_half_known(suspect.known));
 }
 
-bool suspect_list::is_held(const request_key& key, instant now) const
+bool suspect_list::is_quarantined(const request_key& key, instant now) const
 {
 	const auto* suspect = find(key, now);
 	return suspect != nullptr && exceeds_threshold(suspect->known, 0);
 }
 
-bool suspect_list::is_open(const request_key& key, instant now) const
+bool suspect_list::is_undecided(const request_key& key, instant now) const
 {
 	const auto* suspect = find(key, now);
 	return suspect != nullptr && !exceeds_threshold(suspect->known, 0) &&
 		   exceeds_threshold(suspect->known, suspect->presumed.size());
 }
 
-bool suspect_list::is_nearly_held(const request_key& key, instant now) const
+bool suspect_list::is_near_quarantine(const request_key& key, instant now) const
 {
 	const auto* suspect = find(key, now);
 	return suspect != nullptr && weight_of(suspect->known) >= tuning_.quarantine_exits - 1;
@@ -297,10 +297,10 @@
 	return found == suspects_.end() ? std::nullopt : std::optional{found->second.last_end};
 }
 
-std::size_t suspect_list::held_count(instant now) const
+std::size_t suspect_list::quarantined_count(instant now) const
 {
-	return static_cast<std::size_t>(std::count_if(
-		suspects_.begin(), suspects_.end(), [&](const auto& entry) { return is_held(entry.first, now); }));
+	return static_cast<std::size_t>(std::count_if(suspects_.begin(), suspects_.end(),
+		[&](const auto& entry) { return is_quarantined(entry.first, now); }));
 }
 
 void suspect_list::drop_expired(instant now)
--- a/tests/control/suspect_rows.cpp
+++ b/tests/control/suspect_rows.cpp
@@ -182,7 +182,7 @@
 	vm.end(3, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	vm.store.answer(change_answer{false, {}});
-	CHECK_FALSE(vm.list.is_held(request_key{"k"}, proxy::steady_now()));
+	CHECK_FALSE(vm.list.is_quarantined(request_key{"k"}, proxy::steady_now()));
 	vm.context.restart();
 	vm.context.run_for(milliseconds{20});
 	CHECK(vm.store.changes.size() == 2);
@@ -199,7 +199,7 @@
 	stored_list other;
 	auto one = vm.stored_row();
 	other.rows.on_row(one, proxy::steady_now());
-	CHECK(other.list.is_held(request_key{"k"}, proxy::steady_now()));
+	CHECK(other.list.is_quarantined(request_key{"k"}, proxy::steady_now()));
 	CHECK(other.list.unstored(true, proxy::steady_now()).empty());
 	one.removed = true;
 	other.rows.on_row(one, proxy::steady_now());
@@ -225,7 +225,7 @@
 	rows.on_row(row_of("old", std::chrono::minutes{11}), proxy::steady_now());
 	const auto now = proxy::steady_now();
 	rows.note_registry_time(registry_time{seconds{5000}}, now);
-	CHECK(list.is_held(request_key{"new"}, now));
+	CHECK(list.is_quarantined(request_key{"new"}, now));
 	CHECK_FALSE(list.last_end(request_key{"old"}));
 }
 
--- a/tests/quarantine/suspect_list.cpp
+++ b/tests/quarantine/suspect_list.cpp
@@ -32,8 +32,8 @@
 		list.confirm(process(number), together, start);
 	}
 
-	std::vector<suspicion> held;
-	suspect_list list{[this](const suspicion& one, double) { held.push_back(one); }};
+	std::vector<suspicion> quarantined;
+	suspect_list list{[this](const suspicion& one, double) { quarantined.push_back(one); }};
 };
 
 suspicion make_suspicion(const request_key& key, const std::set<process_instance>& ended)
@@ -65,14 +65,14 @@
 	fixture.exit_process(1, {cause, bystander});
 	fixture.exit_process(2, {cause});
 	CHECK(fixture.list.last_end(cause));
-	CHECK_FALSE(fixture.list.is_held(cause, start));
+	CHECK_FALSE(fixture.list.is_quarantined(cause, start));
 	fixture.exit_process(3, {cause});
-	CHECK(fixture.list.is_held(cause, start));
-	CHECK_FALSE(fixture.list.is_held(bystander, start));
-	REQUIRE(fixture.held.size() == 1);
-	CHECK(fixture.held.front().key == cause);
-	CHECK(fixture.list.is_held(cause, start + minutes{9}));
-	CHECK_FALSE(fixture.list.is_held(cause, start + minutes{11}));
+	CHECK(fixture.list.is_quarantined(cause, start));
+	CHECK_FALSE(fixture.list.is_quarantined(bystander, start));
+	REQUIRE(fixture.quarantined.size() == 1);
+	CHECK(fixture.quarantined.front().key == cause);
+	CHECK(fixture.list.is_quarantined(cause, start + minutes{9}));
+	CHECK_FALSE(fixture.list.is_quarantined(cause, start + minutes{11}));
 }
 
 TEST_CASE("an exit counts once, however often it is reported", "[quarantine]")
@@ -83,7 +83,7 @@
 		fixture.exit_process(1, {cause});
 		fixture.list.merge(make_suspicion(cause, {process(1), process(2)}), start, start);
 	}
-	CHECK_FALSE(fixture.list.is_held(cause, start));
+	CHECK_FALSE(fixture.list.is_quarantined(cause, start));
 }
 
 TEST_CASE("a presumed exit leaves undecided whether a request is quarantined", "[quarantine]")
@@ -91,19 +91,19 @@
 	suspect_fixture fixture;
 	fixture.exit_process(1, {cause});
 	fixture.exit_process(2, {cause});
-	CHECK_FALSE(fixture.list.is_open(cause, start));
+	CHECK_FALSE(fixture.list.is_undecided(cause, start));
 	fixture.list.presume(process(3), {cause}, start);
-	CHECK(fixture.list.is_open(cause, start));
-	CHECK_FALSE(fixture.list.is_held(cause, start));
+	CHECK(fixture.list.is_undecided(cause, start));
+	CHECK_FALSE(fixture.list.is_quarantined(cause, start));
 	fixture.list.retract(process(3));
-	CHECK_FALSE(fixture.list.is_open(cause, start));
-	CHECK_FALSE(fixture.list.is_held(cause, start));
+	CHECK_FALSE(fixture.list.is_undecided(cause, start));
+	CHECK_FALSE(fixture.list.is_quarantined(cause, start));
 	fixture.list.presume(process(5), {cause}, start);
 	fixture.list.confirm(process(5), {}, start);
-	CHECK_FALSE(fixture.list.is_open(cause, start));
-	CHECK(fixture.list.is_held(cause, start));
-	fixture.held.clear();
-	CHECK(fixture.held.empty());
+	CHECK_FALSE(fixture.list.is_undecided(cause, start));
+	CHECK(fixture.list.is_quarantined(cause, start));
+	fixture.quarantined.clear();
+	CHECK(fixture.quarantined.empty());
 	fixture.list.presume(process(4), {bystander}, start);
 	fixture.list.retract(process(4));
 	CHECK(fixture.list.size() == 1);
@@ -120,11 +120,11 @@
 	{
 		fixture.exit_process(
 			number, {bystander}, {process(number), process(20 + number), process(30 + number)});
-		CHECK_FALSE(fixture.list.is_held(bystander, start));
+		CHECK_FALSE(fixture.list.is_quarantined(bystander, start));
 	}
 	// After an isolated exit it is quarantined.
 	fixture.exit_process(6, {bystander});
-	CHECK(fixture.list.is_held(bystander, start));
+	CHECK(fixture.list.is_quarantined(bystander, start));
 }
 
 TEST_CASE(
@@ -134,7 +134,7 @@
 	fixture.exit_process(1, {cause});
 	fixture.exit_process(2, {cause});
 	fixture.exit_process(3, {cause}, {process(1), process(2), process(3), process(4)});
-	CHECK(fixture.list.is_held(cause, start));
+	CHECK(fixture.list.is_quarantined(cause, start));
 }
 
 // Guards against counting exits as unrelated although one request caused them at several VMs: three VMs
@@ -156,8 +156,8 @@
 			one.list.merge(reported, start, start);
 		}
 	}
-	CHECK(one.list.is_held(cause, start));
-	CHECK_FALSE(one.list.is_held(bystander, start));
+	CHECK(one.list.is_quarantined(cause, start));
+	CHECK_FALSE(one.list.is_quarantined(bystander, start));
 }
 
 TEST_CASE("a popular request that is completed between exits is not quarantined", "[quarantine]")
@@ -168,8 +168,8 @@
 		fixture.exit_process(number, {bystander, cause});
 		fixture.list.note_survived(bystander, process(100 + number), start);
 	}
-	CHECK(fixture.list.is_held(cause, start));
-	CHECK_FALSE(fixture.list.is_held(bystander, start));
+	CHECK(fixture.list.is_quarantined(cause, start));
+	CHECK_FALSE(fixture.list.is_quarantined(bystander, start));
 }
 
 TEST_CASE("merged reports do not depend on order and repetition", "[quarantine]")
@@ -221,7 +221,7 @@
 	fixture.list.note_stored(stored, start, start);
 	CHECK(fixture.list.unstored(false, start).empty());
 	fixture.list.note_stored(make_suspicion(cause, {process(7)}), start, start);
-	CHECK(fixture.list.is_held(cause, start));
+	CHECK(fixture.list.is_quarantined(cause, start));
 	CHECK(fixture.list.unstored(false, start).empty());
 }
 
@@ -265,7 +265,7 @@
 	fixture.exit_process(2, {bystander}, {process(1), process(2), process(3), process(4)});
 	CHECK(fixture.list.unstored(false, start).empty());
 	CHECK(fixture.list.unstored(true, start).size() == 1);
-	CHECK_FALSE(fixture.list.is_nearly_held(bystander, start));
+	CHECK_FALSE(fixture.list.is_near_quarantine(bystander, start));
 }
 
 // Guards against losing evidence that is split between failure domains: four VMs of two failure domains
@@ -282,13 +282,13 @@
 	one.exit_process(2, {cause}, all);
 	other.exit_process(3, {cause}, all);
 	other.exit_process(4, {cause}, all);
-	CHECK_FALSE(one.list.is_held(cause, start));
+	CHECK_FALSE(one.list.is_quarantined(cause, start));
 	for (const auto& stored : other.list.unstored(true, start))
 	{
 		one.list.note_stored(stored, start, start);
 	}
-	CHECK(one.list.is_held(cause, start));
-	CHECK_FALSE(one.list.is_held(bystander, start));
+	CHECK(one.list.is_quarantined(cause, start));
+	CHECK_FALSE(one.list.is_quarantined(bystander, start));
 }
 
 TEST_CASE("merged reports of more exits than are kept do not depend on order", "[quarantine]")
