--- a/include/gingerdyke/quarantine/suspect_list.hpp
+++ b/include/gingerdyke/quarantine/suspect_list.hpp
@@ -12,7 +12,7 @@
 namespace gingerdyke::quarantine
 {
 /// \brief Replica processes that exited, each with the other processes that exited at the same time.
-using ended_lives = std::map<process_instance, std::set<process_instance>>;
+using process_exits = std::map<process_instance, std::set<process_instance>>;
 
 /// \brief Evidence against one request. The sets only grow, so reports may arrive in any order and more
 /// than once, from any VM.
@@ -23,7 +23,7 @@
 	/// Replica processes that exited while they were running the request. Whether the processes that exited
 	/// at the same time were running it too is known only after the reports of all VMs are merged: each VM
 	/// knows only what it sent itself.
-	ended_lives ended;
+	process_exits ended;
 
 	/// Replica processes that completed the request.
 	std::set<process_instance> survived;
@@ -108,14 +108,14 @@
 
 	/// \brief Records that a replica process completed a request; no effect unless there is evidence
 	/// against the request.
-	void note_survived(const request_key& key, process_instance process, instant now);
+	void add_completion(const request_key& key, process_instance process, instant now);
 
 	/// \brief Merges the evidence of another VM.
-	/// \param last_end When a replica last exited while running the request.
-	void merge(const suspicion& told, instant last_end, instant now);
+	/// \param last_exit When a replica last exited while running the request.
+	void merge(const suspicion& report, instant last_exit, instant now);
 
 	/// \brief Merges evidence from the registry; it need not be stored again.
-	void note_stored(const suspicion& stored, instant last_end, instant now);
+	void merge_stored(const suspicion& stored, instant last_exit, instant now);
 
 	/// \brief Drops the evidence against a request, because an operator removed its row.
 	void forget(const request_key& key) { suspects_.erase(key); }
@@ -130,8 +130,8 @@
 	[[nodiscard]] bool is_near_quarantine(const request_key& key, instant now) const;
 
 	/// \brief Returns recently changed evidence to report to other VMs.
-	/// \param least_ended Minimum number of exits of the returned requests.
-	[[nodiscard]] std::vector<suspicion> news(std::size_t least_ended, instant now) const;
+	/// \param min_exits Minimum number of exits of the returned requests.
+	[[nodiscard]] std::vector<suspicion> recent_changes(std::size_t min_exits, instant now) const;
 
 	/// \brief Returns evidence that should be stored in the registry and is not yet, as far as this VM
 	/// knows.
@@ -140,7 +140,7 @@
 
 	/// \brief Returns when a replica last exited while running a request; none: there is no evidence
 	/// against it.
-	[[nodiscard]] std::optional<instant> last_end(const request_key& key) const;
+	[[nodiscard]] std::optional<instant> last_exit(const request_key& key) const;
 
 	/// \brief Number of quarantined requests, and of all suspect requests.
 	[[nodiscard]] std::size_t quarantined_count(instant now) const;
@@ -154,7 +154,7 @@
 
 		/// Processes whose exit is presumed but not yet confirmed.
 		std::set<process_instance> presumed;
-		instant last_end;
+		instant last_exit;
 		instant changed_at;
 
 		/// A replica to which this VM had sent the request exited while running it.
@@ -176,7 +176,7 @@
 		suspicion& known, const std::vector<process_instance>& processes) const;
 	[[nodiscard]] bool is_worth_storing(const entry& suspect, bool for_others) const;
 	entry& find_or_add(const request_key& key, instant now);
-	void add_end(
+	void add_exit(
 		suspicion& to, process_instance process, const std::set<process_instance>& simultaneous) const;
 	[[nodiscard]] bool merge_evidence(suspicion& into, const suspicion& from) const;
 	void on_change(entry& suspect, instant now);
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -71,7 +71,8 @@
 	const auto& versions = gateway_.versions();
 	const auto now = proxy::steady_now();
 	return peer_report{reporter_, gateway_.selector().outstanding_work(), versions.own_evidence(),
-		versions.suspensions(), gateway_.suspects().news(1, now), gateway_.announced().local_updates(now)};
+		versions.suspensions(), gateway_.suspects().recent_changes(1, now),
+		gateway_.announced().local_updates(now)};
 }
 
 void coordinator::on_report(const peer_report& report)
@@ -101,7 +102,7 @@
 	// What stood beside one end only is for the VMs that sum up.
 	constexpr std::size_t least_ended = 2;
 	return {board_.work_of_others(reporter, now), gateway_.versions().suspensions(),
-		gateway_.suspects().news(least_ended, now), board_.limits_of_others(reporter, now)};
+		gateway_.suspects().recent_changes(least_ended, now), board_.limits_of_others(reporter, now)};
 }
 
 void coordinator::on_summary(const peer_summary& summary)
--- a/src/control/suspect_rows.cpp
+++ b/src/control/suspect_rows.cpp
@@ -30,7 +30,7 @@
 	return all;
 }
 
-json ended_json(const quarantine::ended_lives& ended)
+json ended_json(const quarantine::process_exits& ended)
 {
 	json all = json::array();
 	for (const auto& [life, together] : ended)
@@ -40,9 +40,9 @@
 	return all;
 }
 
-quarantine::ended_lives ended_of(const json& value)
+quarantine::process_exits ended_of(const json& value)
 {
-	quarantine::ended_lives all;
+	quarantine::process_exits all;
 	for (const auto& one : value)
 	{
 		all[quarantine::process_instance{one.at("life").get<std::int64_t>()}] = lives_of(one.at("together"));
@@ -119,7 +119,7 @@
 		return;
 	}
 	known.last_end = std::min(now, instant{read->last_end - *offset_});
-	suspects_.note_stored(read->known, *known.last_end, now);
+	suspects_.merge_stored(read->known, *known.last_end, now);
 	arm();
 }
 
@@ -183,7 +183,7 @@
 	for (const auto& one : news)
 	{
 		const auto key = row_key_of(one.key);
-		const auto last_end = suspects_.last_end(one.key).value_or(now);
+		const auto last_end = suspects_.last_exit(one.key).value_or(now);
 		const stored_suspicion stored{one, last_end.time_since_epoch() + *offset_};
 		change.conditions.push_back(unchanged(key));
 		change.puts.push_back({table_, key, write_suspicion(stored)});
@@ -216,7 +216,7 @@
 	log::write(log::level::info, "suspicions stored", {{"count", written.size()}});
 	for (const auto& one : written)
 	{
-		suspects_.note_stored(one, suspects_.last_end(one.key).value_or(now), now);
+		suspects_.merge_stored(one, suspects_.last_exit(one.key).value_or(now), now);
 	}
 	arm();
 }
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -332,7 +332,7 @@
 	auto& runs = shared_.ends().runs();
 	if (attempt_->run_ends == quarantine::run_outcome::completed)
 	{
-		shared_.suspects().note_survived(key_, runs.instance_of(*attempt_->to), now);
+		shared_.suspects().add_completion(key_, runs.instance_of(*attempt_->to), now);
 	}
 	runs.end(*attempt_->to, attempt_->run, attempt_->run_ends, now);
 }
--- a/src/quarantine/suspect_list.cpp
+++ b/src/quarantine/suspect_list.cpp
@@ -26,7 +26,7 @@
 const suspect_list::entry* suspect_list::find(const request_key& key, instant now) const
 {
 	const auto found = suspects_.find(key);
-	const bool is_known = found != suspects_.end() && now - found->second.last_end <= tuning_.lifetime;
+	const bool is_known = found != suspects_.end() && now - found->second.last_exit <= tuning_.lifetime;
 	return is_known ? &found->second : nullptr;
 }
 
@@ -50,7 +50,7 @@
 {
 	return known.ended.size() > 1 &&
 		   std::all_of(known.ended.begin(), known.ended.end(),
-			   [&](const auto& end) { return count_unrelated(end.second, known) <= known.ended.size(); });
+			   [&](const auto& exit) { return count_unrelated(exit.second, known) <= known.ended.size(); });
 }
 
 double suspect_list::weight_of(const suspicion& known) const
@@ -77,7 +77,7 @@
 {
 	const auto weight = weight_of(suspect.known);
 	const bool has_isolated_exit = std::any_of(suspect.known.ended.begin(), suspect.known.ended.end(),
-		[&](const auto& end) { return !has_other_cause(end.second, suspect.known); });
+		[&](const auto& exit) { return !has_other_cause(exit.second, suspect.known); });
 	if (weight >= tuning_.direct_store_weight)
 	{
 		return for_others || suspect.is_seen_here;
@@ -109,7 +109,7 @@
 	auto& suspect = suspects_[key];
 	suspect.known.key = key;
 	suspect.stored.key = key;
-	suspect.last_end = std::max(suspect.last_end, now);
+	suspect.last_exit = std::max(suspect.last_exit, now);
 	return suspect;
 }
 
@@ -135,7 +135,7 @@
 		const bool was_running = suspect.presumed.erase(process) > 0;
 		if (was_running)
 		{
-			add_end(suspect.known, process, {});
+			add_exit(suspect.known, process, {});
 			suspect.is_seen_here = true;
 		}
 		const bool is_new = add_simultaneous(suspect.known, simultaneous);
@@ -152,21 +152,21 @@
 	bool is_new = false;
 	for (const auto process : processes)
 	{
-		const auto end = known.ended.find(process);
-		if (end == known.ended.end())
+		const auto exit = known.ended.find(process);
+		if (exit == known.ended.end())
 		{
 			continue;
 		}
 		std::set<process_instance> others{processes.begin(), processes.end()};
 		others.erase(process);
-		const auto before = end->second;
-		add_end(known, process, others);
-		is_new = is_new || end->second != before;
+		const auto before = exit->second;
+		add_exit(known, process, others);
+		is_new = is_new || exit->second != before;
 	}
 	return is_new;
 }
 
-void suspect_list::add_end(
+void suspect_list::add_exit(
 	suspicion& to, process_instance process, const std::set<process_instance>& simultaneous) const
 {
 	auto& kept = to.ended[process];
@@ -185,7 +185,7 @@
 	}
 }
 
-void suspect_list::note_survived(const request_key& key, process_instance process, instant now)
+void suspect_list::add_completion(const request_key& key, process_instance process, instant now)
 {
 	const auto found = suspects_.find(key);
 	if (found == suspects_.end() || found->second.known.survived.size() >= tuning_.max_processes)
@@ -198,23 +198,23 @@
 	}
 }
 
-void suspect_list::merge(const suspicion& told, instant last_end, instant now)
+void suspect_list::merge(const suspicion& report, instant last_exit, instant now)
 {
-	if (told.ended.empty() || now - last_end > tuning_.lifetime)
+	if (report.ended.empty() || now - last_exit > tuning_.lifetime)
 	{
 		return;
 	}
-	auto& suspect = find_or_add(told.key, last_end);
-	if (merge_evidence(suspect.known, told))
+	auto& suspect = find_or_add(report.key, last_exit);
+	if (merge_evidence(suspect.known, report))
 	{
 		on_change(suspect, now);
 	}
 	enforce_max_suspects();
 }
 
-void suspect_list::note_stored(const suspicion& stored, instant last_end, instant now)
+void suspect_list::merge_stored(const suspicion& stored, instant last_exit, instant now)
 {
-	merge(stored, last_end, now);
+	merge(stored, last_exit, now);
 	const auto found = suspects_.find(stored.key);
 	if (found != suspects_.end())
 	{
@@ -228,7 +228,7 @@
 	const auto before = into;
 	for (const auto& [process, simultaneous] : from.ended)
 	{
-		add_end(into, process, simultaneous);
+		add_exit(into, process, simultaneous);
 	}
 	into.survived.insert(from.survived.begin(), from.survived.end());
 	keep_smallest(into.survived, tuning_.max_processes);
@@ -246,12 +246,12 @@
 	suspect.is_quarantine_reported = is_quarantined_now;
 }
 
-std::vector<suspicion> suspect_list::news(std::size_t least_ended, instant now) const
+std::vector<suspicion> suspect_list::recent_changes(std::size_t min_exits, instant now) const
 {
 	std::vector<const entry*> found;
 	for (const auto& [key, suspect] : suspects_)
 	{
-		if (suspect.known.ended.size() >= std::max<std::size_t>(1, least_ended) &&
+		if (suspect.known.ended.size() >= std::max<std::size_t>(1, min_exits) &&
 			now - suspect.changed_at <= tuning_.report_time)
 		{
 			found.push_back(&suspect);
@@ -260,13 +260,13 @@
 	std::stable_sort(found.begin(), found.end(),
 		[](const entry* a, const entry* b) { return a->known.ended.size() > b->known.ended.size(); });
 	found.resize(std::min(found.size(), tuning_.max_reported));
-	std::vector<suspicion> told;
-	told.reserve(found.size());
+	std::vector<suspicion> report;
+	report.reserve(found.size());
 	for (const auto* suspect : found)
 	{
-		told.push_back(suspect->known);
+		report.push_back(suspect->known);
 	}
-	return told;
+	return report;
 }
 
 std::vector<suspicion> suspect_list::unstored(bool for_others, instant now) const
@@ -291,10 +291,10 @@
 	return result;
 }
 
-std::optional<instant> suspect_list::last_end(const request_key& key) const
+std::optional<instant> suspect_list::last_exit(const request_key& key) const
 {
 	const auto found = suspects_.find(key);
-	return found == suspects_.end() ? std::nullopt : std::optional{found->second.last_end};
+	return found == suspects_.end() ? std::nullopt : std::optional{found->second.last_exit};
 }
 
 std::size_t suspect_list::quarantined_count(instant now) const
@@ -306,7 +306,7 @@
 void suspect_list::drop_expired(instant now)
 {
 	std::erase_if(
-		suspects_, [&](const auto& entry) { return now - entry.second.last_end > tuning_.lifetime; });
+		suspects_, [&](const auto& entry) { return now - entry.second.last_exit > tuning_.lifetime; });
 }
 
 void suspect_list::enforce_max_suspects()
@@ -316,8 +316,8 @@
 		const auto weakest = std::min_element(suspects_.begin(), suspects_.end(),
 			[](const auto& a, const auto& b)
 			{
-				return std::pair{a.second.known.ended.size(), a.second.last_end} <
-					   std::pair{b.second.known.ended.size(), b.second.last_end};
+				return std::pair{a.second.known.ended.size(), a.second.last_exit} <
+					   std::pair{b.second.known.ended.size(), b.second.last_exit};
 			});
 		suspects_.erase(weakest);
 	}
--- a/tests/control/suspect_rows.cpp
+++ b/tests/control/suspect_rows.cpp
@@ -203,7 +203,7 @@
 	CHECK(other.list.unstored(true, proxy::steady_now()).empty());
 	one.removed = true;
 	other.rows.on_row(one, proxy::steady_now());
-	CHECK_FALSE(other.list.last_end(request_key{"k"}));
+	CHECK_FALSE(other.list.last_exit(request_key{"k"}));
 }
 
 TEST_CASE("rows that come before the registry's clock are taken once it is known, old ones not as new",
@@ -226,7 +226,7 @@
 	const auto now = proxy::steady_now();
 	rows.note_registry_time(registry_time{seconds{5000}}, now);
 	CHECK(list.is_quarantined(request_key{"new"}, now));
-	CHECK_FALSE(list.last_end(request_key{"old"}));
+	CHECK_FALSE(list.last_exit(request_key{"old"}));
 }
 
 TEST_CASE("a row of long ago holds nothing back, and goes with the next write", "[quarantine]")
@@ -237,7 +237,7 @@
 			{{process_instance{1}, {}}, {process_instance{2}, {}}, {process_instance{3}, {}}}, {}},
 		registry_time{seconds{500} - std::chrono::minutes{11}}};
 	vm.rows.on_row({"own", "suspect/old", write_suspicion(old), row_version{1}, false}, proxy::steady_now());
-	CHECK_FALSE(vm.list.last_end(request_key{"old"}));
+	CHECK_FALSE(vm.list.last_exit(request_key{"old"}));
 	vm.end(1, "k");
 	vm.end(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
--- a/tests/quarantine/suspect_list.cpp
+++ b/tests/quarantine/suspect_list.cpp
@@ -64,7 +64,7 @@
 	suspect_fixture fixture;
 	fixture.exit_process(1, {cause, bystander});
 	fixture.exit_process(2, {cause});
-	CHECK(fixture.list.last_end(cause));
+	CHECK(fixture.list.last_exit(cause));
 	CHECK_FALSE(fixture.list.is_quarantined(cause, start));
 	fixture.exit_process(3, {cause});
 	CHECK(fixture.list.is_quarantined(cause, start));
@@ -151,7 +151,7 @@
 	three.exit_process(3, {cause}, all);
 	for (const auto* other : {&two, &three})
 	{
-		for (const auto& reported : other->list.news(1, start))
+		for (const auto& reported : other->list.recent_changes(1, start))
 		{
 			one.list.merge(reported, start, start);
 		}
@@ -166,7 +166,7 @@
 	for (int number = 1; number <= 8; ++number)
 	{
 		fixture.exit_process(number, {bystander, cause});
-		fixture.list.note_survived(bystander, process(100 + number), start);
+		fixture.list.add_completion(bystander, process(100 + number), start);
 	}
 	CHECK(fixture.list.is_quarantined(cause, start));
 	CHECK_FALSE(fixture.list.is_quarantined(bystander, start));
@@ -192,7 +192,7 @@
 		{
 			one.list.merge(report, start, start);
 		}
-		const auto reported = one.list.news(1, start);
+		const auto reported = one.list.recent_changes(1, start);
 		REQUIRE(reported.size() == 2);
 		const auto& first = reported.front();
 		CHECK(first.key == cause);
@@ -218,9 +218,9 @@
 	REQUIRE(fixture.list.unstored(false, start).size() == 1);
 	const auto stored = fixture.list.unstored(false, start).front();
 	CHECK(exited_processes(stored) == std::set{process(1), process(4)});
-	fixture.list.note_stored(stored, start, start);
+	fixture.list.merge_stored(stored, start, start);
 	CHECK(fixture.list.unstored(false, start).empty());
-	fixture.list.note_stored(make_suspicion(cause, {process(7)}), start, start);
+	fixture.list.merge_stored(make_suspicion(cause, {process(7)}), start, start);
 	CHECK(fixture.list.is_quarantined(cause, start));
 	CHECK(fixture.list.unstored(false, start).empty());
 }
@@ -285,7 +285,7 @@
 	CHECK_FALSE(one.list.is_quarantined(cause, start));
 	for (const auto& stored : other.list.unstored(true, start))
 	{
-		one.list.note_stored(stored, start, start);
+		one.list.merge_stored(stored, start, start);
 	}
 	CHECK(one.list.is_quarantined(cause, start));
 	CHECK_FALSE(one.list.is_quarantined(bystander, start));
@@ -311,7 +311,7 @@
 			one.list.merge(left[drawn], start, start);
 			left.erase(left.begin() + static_cast<std::ptrdiff_t>(drawn));
 		}
-		const auto reported = one.list.news(1, start);
+		const auto reported = one.list.recent_changes(1, start);
 		REQUIRE(reported.size() == 1);
 		CHECK(all.value_or(reported.front()) == reported.front());
 		all = reported.front();
@@ -337,8 +337,8 @@
 			for (const auto& one : writer->list.unstored(true, start))
 			{
 				++writes;
-				a.list.note_stored(one, start, start);
-				b.list.note_stored(one, start, start);
+				a.list.merge_stored(one, start, start);
+				b.list.merge_stored(one, start, start);
 			}
 		}
 	}
@@ -360,9 +360,9 @@
 	fixture.exit_process(2, {cause});
 	fixture.exit_process(3, requests);
 	CHECK(fixture.list.size() == suspect_tuning{}.max_suspects);
-	CHECK(fixture.list.last_end(cause));
-	CHECK(fixture.list.news(1, start).size() == suspect_tuning{}.max_reported);
-	CHECK(fixture.list.news(1, start).front().key == cause);
+	CHECK(fixture.list.last_exit(cause));
+	CHECK(fixture.list.recent_changes(1, start).size() == suspect_tuning{}.max_reported);
+	CHECK(fixture.list.recent_changes(1, start).front().key == cause);
 	CHECK(fixture.list.unstored(true, start).size() == 1);
-	CHECK(fixture.list.news(1, start + seconds{5}).empty());
+	CHECK(fixture.list.recent_changes(1, start + seconds{5}).empty());
 }
