--- a/include/gingerdyke/limits/attempt_budget.hpp
+++ b/include/gingerdyke/limits/attempt_budget.hpp
@@ -33,7 +33,7 @@
 	explicit attempt_budget(attempt_budget_tuning tuning) : tuning_(tuning) {}
 
 	/// \brief Records a client's request.
-	void note_request(instant now)
+	void record_request(instant now)
 	{
 		drop_expired(now);
 		requests_.push_back(now);
@@ -42,7 +42,7 @@
 	/// \brief Takes one additional attempt from the budget if one is available.
 	[[nodiscard]] bool take(instant now)
 	{
-		if (left(now) < 1)
+		if (available(now) < 1)
 		{
 			return false;
 		}
@@ -51,7 +51,7 @@
 	}
 
 	/// \brief Returns the attempt that was taken last, because it was not sent.
-	void give_back()
+	void refund()
 	{
 		if (!additional_.empty())
 		{
@@ -60,7 +60,7 @@
 	}
 
 	/// \brief Number of additional attempts that may be sent now.
-	[[nodiscard]] double left(instant now)
+	[[nodiscard]] double available(instant now)
 	{
 		drop_expired(now);
 		const auto earned = tuning_.ratio * tuning_.used_share * static_cast<double>(requests_.size());
--- a/include/gingerdyke/limits/call_gate.hpp
+++ b/include/gingerdyke/limits/call_limiter.hpp
@@ -12,12 +12,12 @@
 namespace gingerdyke::limits
 {
 /// \brief Queues calls and releases them at a limited rate, the most urgent first.
-class call_gate
+class call_limiter
 {
   public:
 	/// \param rate Calls per second that this VM may make.
 	/// \param burst Calls that may be released at once.
-	call_gate(double rate, double burst, instant now) : bucket_(rate, burst, now) {}
+	call_limiter(double rate, double burst, instant now) : bucket_(rate, burst, now) {}
 
 	void add(call_store call)
 	{
--- a/src/node/host.cpp
+++ b/src/node/host.cpp
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <gingerdyke/base/boot_clock.hpp>
 #include <gingerdyke/base/crypto.hpp>
-#include <gingerdyke/limits/call_gate.hpp>
+#include <gingerdyke/limits/call_limiter.hpp>
 #include <gingerdyke/node/host.hpp>
 #include <gingerdyke/node/status.hpp>
 #include <gingerdyke/peer/link_hub.hpp>
@@ -121,7 +121,7 @@
 {
 	std::unique_ptr<core> machine;
 	surroundings outside;
-	std::unique_ptr<limits::call_gate> gate;
+	std::unique_ptr<limits::call_limiter> gate;
 	std::vector<caf::actor> workers;
 	std::vector<bool> busy;
 	caf::actor members;
@@ -248,7 +248,7 @@
 	state.outside = outside;
 	const auto rate = settings.platform_calls_per_second;
 	state.gate =
-		std::make_unique<limits::call_gate>(rate, std::max(1.0, rate * call_burst_seconds), steady_now());
+		std::make_unique<limits::call_limiter>(rate, std::max(1.0, rate * call_burst_seconds), steady_now());
 	for (std::size_t i = 0; i < claim_workers + other_workers; ++i)
 	{
 		state.workers.push_back(
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -246,7 +246,7 @@
 {
 	return attempts_ < route_->attempts && time_left() >= shared_.tuning().least_time &&
 		   (trace_ == trace::not_run || route_->is_retryable()) &&
-		   shared_.budget(service_id_).left(steady_now()) >= 1;
+		   shared_.budget(service_id_).available(steady_now()) >= 1;
 }
 
 void exchange::send_to(const routing::replica_ptr& to)
--- a/src/proxy/exchange_admission.cpp
+++ b/src/proxy/exchange_admission.cpp
@@ -62,7 +62,7 @@
 		return;
 	}
 	read_deadline();
-	shared_.budget(service_id_).note_request(arrived_);
+	shared_.budget(service_id_).record_request(arrived_);
 	deadline_timer_.expires_after(std::max(time_left(), duration{0}));
 	deadline_timer_.async_wait(
 		[self = shared_from_this()](const error_code& error)
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -364,7 +364,7 @@
 	--attempts_;
 	if (attempts_ > 0)
 	{
-		shared_.budget(service_id_).give_back();
+		shared_.budget(service_id_).refund();
 	}
 }
 
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -333,7 +333,7 @@
 	for (auto& [service, budget] : budgets_)
 	{
 		out << "gingerdyke_further_attempts_left{" << metrics::write_label("service", service.str()) << "} "
-			<< budget.left(now) << "\n";
+			<< budget.available(now) << "\n";
 	}
 }
 
--- a/tests/routing/routing.cpp
+++ b/tests/routing/routing.cpp
@@ -132,7 +132,7 @@
 	CHECK_FALSE(budget.take(at(milliseconds{0})));
 	for (int i = 0; i < 10; ++i)
 	{
-		budget.note_request(at(milliseconds{i}));
+		budget.record_request(at(milliseconds{i}));
 	}
 	unsigned taken = 0;
 	while (budget.take(at(milliseconds{20})))
@@ -142,5 +142,5 @@
 	CHECK(taken == 5);
 	CHECK_FALSE(budget.take(at(milliseconds{9000})));
 	// Both requests and additional attempts have left the window.
-	CHECK(budget.left(at(milliseconds{10100})) == 0);
+	CHECK(budget.available(at(milliseconds{10100})) == 0);
 }
