--- a/soak/link_proxy.cpp
+++ b/soak/link_proxy.cpp
@@ -83,9 +83,9 @@
 	{
 		for (auto* from : {&near_, &far_})
 		{
-			if (from->is_quarantined && !is_held_back(*from))
+			if (from->is_held && !is_held_back(*from))
 			{
-				from->is_quarantined = false;
+				from->is_held = false;
 				pass_on(*from, from == &near_ ? far_ : near_);
 			}
 		}
@@ -108,7 +108,7 @@
 		tcp::socket socket;
 		proxy::boot_timer timer;
 		std::string piece;
-		bool is_quarantined;
+		bool is_held;
 	};
 
 	[[nodiscard]] bool is_held_back(const side& from) const
@@ -147,7 +147,7 @@
 	{
 		if (is_held_back(from))
 		{
-			from.is_quarantined = true;
+			from.is_held = true;
 			return;
 		}
 		if (*fault_ != link_fault::delayed)
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -35,7 +35,7 @@
 	shared_.cold_replicas().update_sent_time(*attempt_->to, attempt_->sent_at, steady_now());
 	if (!attempt_->is_limited)
 	{
-		shared_.announced().note_sent(*attempt_->to, steady_now());
+		shared_.announced().record_sent(*attempt_->to, steady_now());
 	}
 	attempt_->connected = true;
 	arm_attempt_timer(first_byte_limit());
@@ -46,8 +46,8 @@
 	const auto now = steady_now();
 	const auto& to = *attempt_->to;
 	// What counted as cold, or as limited, when it was chosen has its share already.
-	const bool has_cold_share = attempt_->is_cold || shared_.cold_replicas().takes(to, now);
-	const bool has_limit_share = attempt_->is_limited || shared_.announced().takes(to, now);
+	const bool has_cold_share = attempt_->is_cold || shared_.cold_replicas().allows_request(to, now);
+	const bool has_limit_share = attempt_->is_limited || shared_.announced().allows_request(to, now);
 	return shared_.replicas().accepts_requests(to) && !shared_.evacuated().contains(to.domain) &&
 		   !shared_.resting().is_backing_off(to, now) && has_cold_share && has_limit_share;
 }
@@ -126,7 +126,7 @@
 	}
 	else
 	{
-		shared_.resting().note_answer(from, attempt_->sent_at);
+		shared_.resting().record_response(from, attempt_->sent_at);
 	}
 	if (!said.unreadable.empty())
 	{
@@ -134,7 +134,7 @@
 	}
 	if (!said.has_unclear_limit)
 	{
-		shared_.announced().note_answer(from, {said.load_limit, attempt_->sent_at, id_}, now);
+		shared_.announced().record_response(from, {said.load_limit, attempt_->sent_at, id_}, now);
 	}
 }
 
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -101,7 +101,7 @@
 	proxy_world world;
 	scripted_replica good{world.context, answers(answer_with("200 OK", "x"))};
 	world.start({{"plain", &good}});
-	auto gone = *world.gateway().replicas().of(service_id{"plain"}).front();
+	auto gone = *world.gateway().replicas().of_service(service_id{"plain"}).front();
 	proxy::tcp::acceptor probe{world.context, {proxy::asio::ip::address_v4::loopback(), 0}};
 	gone.at.port = probe.local_endpoint().port();
 	probe.close();
@@ -381,7 +381,7 @@
 	proxy_world world;
 	scripted_replica replica{world.context, answers(answer_with("200 OK", "x"))};
 	world.start({{"plain", &replica}});
-	auto leaving = *world.gateway().replicas().of(service_id{"plain"}).front();
+	auto leaving = *world.gateway().replicas().of_service(service_id{"plain"}).front();
 	leaving.leaving = true;
 	world.gateway().replicas().put(leaving, proxy::steady_now());
 	CHECK(world.ask(request_to("POST", "/unsafe/a", "body")).starts_with("HTTP/1.1 503 "));
--- a/tests/quarantine/replica_runs.cpp
+++ b/tests/quarantine/replica_runs.cpp
@@ -26,10 +26,10 @@
 TEST_CASE("a recently abandoned run still counts as running, a completed one does not", "[quarantine]")
 {
 	replica_runs runs;
-	const auto abandoned = runs.begin(make_replica(), first, start);
-	const auto completed = runs.begin(make_replica(), second, start);
-	runs.end(make_replica(), abandoned, run_outcome::abandoned, start);
-	runs.end(make_replica(), completed, run_outcome::completed, start);
+	const auto abandoned_run = runs.begin(make_replica(), first, start);
+	const auto completed_run = runs.begin(make_replica(), second, start);
+	runs.end(make_replica(), abandoned_run, run_outcome::abandoned, start);
+	runs.end(make_replica(), completed_run, run_outcome::completed, start);
 	CHECK(runs.running_at(make_replica(), start + milliseconds{900}) == std::vector{first});
 	CHECK(runs.running_at(make_replica(), start + milliseconds{1100}).empty());
 }
