--- a/include/gingerdyke/routing/backoff_periods.hpp
+++ b/include/gingerdyke/routing/backoff_periods.hpp
@@ -26,7 +26,7 @@
 
 	/// After the period, one request is sent first. If it gets no response for this long, another one is
 	/// sent. The first byte of a response from a busy replica takes about this long.
-	duration answer_time = std::chrono::seconds{2};
+	duration response_timeout = std::chrono::seconds{2};
 };
 
 /// \brief Tracks which replicas are in a back-off period, and until when. If several were requested, the
--- a/include/gingerdyke/routing/replica_selector.hpp
+++ b/include/gingerdyke/routing/replica_selector.hpp
@@ -84,7 +84,7 @@
 	/// It refused the request because it is at capacity.
 	refused,
 	/// No response: the connection was reset, or timed out.
-	no_answer,
+	no_response,
 	/// The connection could not be established.
 	not_connected,
 };
@@ -167,7 +167,7 @@
 		/// Subtracts work that is done.
 		void remove_work(double tokens) { outstanding_tokens = std::max(0.0, outstanding_tokens - tokens); }
 
-		unsigned open{};
+		unsigned outstanding_requests{};
 		double outstanding_tokens{};
 		double failure_rate{};
 		unsigned consecutive_failures{};
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -347,7 +347,7 @@
 	const bool is_stale_link = fault == upstream_fault::no_answer && attempt_->link->was_used();
 	if (!is_stale_link)
 	{
-		note_result(routing::replica_result::no_answer);
+		note_result(routing::replica_result::no_response);
 		tried_.push_back(attempt_->to->id);
 	}
 	end_attempt(false);
@@ -427,7 +427,7 @@
 		shared_.note_answer(*attempt_->to, sample);
 	}
 	note_pace(attempt_->pace.note_given_up(steady_now()));
-	note_result(routing::replica_result::no_answer);
+	note_result(routing::replica_result::no_response);
 	tried_.push_back(attempt_->to->id);
 	end_attempt(false);
 	try_again_or([this] { give_up(gateway_timeout, "replica silent"); });
--- a/src/quarantine/suspect_list.cpp
+++ b/src/quarantine/suspect_list.cpp
@@ -9,11 +9,11 @@
 {
 /// Keeps the smallest elements, so that the result of merging reports does not depend on their order.
 template <typename Set>
-void keep_smallest(Set& of, std::size_t most)
+void keep_smallest(Set& elements, std::size_t max_count)
 {
-	while (of.size() > most)
+	while (elements.size() > max_count)
 	{
-		of.erase(std::prev(of.end()));
+		elements.erase(std::prev(elements.end()));
 	}
 }
 } // namespace
@@ -65,9 +65,9 @@
 
 bool suspect_list::exceeds_threshold(const suspicion& known, std::size_t additional_exits) const
 {
-	const auto ends = weight_of(known) + static_cast<double>(additional_exits);
+	const auto exits = weight_of(known) + static_cast<double>(additional_exits);
 	const auto completions = static_cast<double>(known.survived.size());
-	return ends >= tuning_.quarantine_exits && ends > tuning_.min_exits_per_completion * completions;
+	return exits >= tuning_.quarantine_exits && exits > tuning_.min_exits_per_completion * completions;
 }
 
 /// A simultaneous loss of many replicas leaves requests that were running on one or two of them: storing
--- a/src/routing/backoff_periods.cpp
+++ b/src/routing/backoff_periods.cpp
@@ -25,10 +25,10 @@
 	const auto spread = std::min(scaled(capped, tuning_.resume_spread), tuning_.max_resume_spread);
 	const auto until = now + capped + scaled(spread, unit_of(stable_hash(request)));
 	const auto* previous = find(sender);
-	const bool is_already_resting = previous != nullptr && previous->until > now;
+	const bool is_already_backing_off = previous != nullptr && previous->until > now;
 	const auto latest = previous == nullptr ? until : std::max(previous->until, until);
 	states_.insert_or_assign(sender.id, state{sender.incarnation, sender.service, latest, {}});
-	if (!is_already_resting)
+	if (!is_already_backing_off)
 	{
 		began_(sender, request, capped);
 	}
@@ -64,18 +64,19 @@
 	{
 		return true;
 	}
-	const bool is_first_pending = current->first_sent && now - *current->first_sent < tuning_.answer_time;
+	const bool is_first_pending =
+		current->first_sent && now - *current->first_sent < tuning_.response_timeout;
 	return now >= current->until && !is_first_pending;
 }
 
 std::optional<duration> backoff_periods::time_until_resumed(const service_id& service, instant now) const
 {
 	std::optional<duration> shortest;
-	for (const auto& [id, rest] : states_)
+	for (const auto& [id, backoff] : states_)
 	{
-		if (rest.service == service && rest.until > now)
+		if (backoff.service == service && backoff.until > now)
 		{
-			const auto remaining = rest.until - now;
+			const auto remaining = backoff.until - now;
 			shortest = std::min(shortest.value_or(remaining), remaining);
 		}
 	}
--- a/src/routing/replica_selector.cpp
+++ b/src/routing/replica_selector.cpp
@@ -174,17 +174,17 @@
 	const auto assumed_us = static_cast<double>(tuning_.assumed_response_time.count());
 	const auto response_us =
 		stats == nullptr || stats->mean_response_us == 0 ? assumed_us : stats->mean_response_us;
-	const auto open = stats == nullptr ? 0 : stats->open;
+	const auto outstanding_requests = stats == nullptr ? 0 : stats->outstanding_requests;
 	const auto penalty_us =
 		target.domain == own_domain_ ? 0 : static_cast<double>(tuning_.cross_domain_penalty.count());
-	return response_us * (1 + open) + penalty_us;
+	return response_us * (1 + outstanding_requests) + penalty_us;
 }
 
 void replica_selector::record_sent(const replica& target, double tokens)
 {
 	if (auto* stats = find_current(target))
 	{
-		++stats->open;
+		++stats->outstanding_requests;
 		stats->outstanding_tokens += tokens;
 	}
 }
@@ -200,11 +200,11 @@
 void replica_selector::record_completion(const replica& target, double tokens)
 {
 	auto* stats = find_current(target);
-	if (stats == nullptr || stats->open == 0)
+	if (stats == nullptr || stats->outstanding_requests == 0)
 	{
 		return;
 	}
-	--stats->open;
+	--stats->outstanding_requests;
 	stats->remove_work(tokens);
 }
 
@@ -219,7 +219,7 @@
 	auto& stats = *current;
 	const bool is_unreachable = result == replica_result::not_connected;
 	const bool failed =
-		result == replica_result::failed || result == replica_result::no_answer || is_unreachable;
+		result == replica_result::failed || result == replica_result::no_response || is_unreachable;
 	const auto weight = tuning_.failure_rate_weight;
 	const auto value = failed ? 1.0 : 0.0;
 	stats.failure_rate += weight * (value - stats.failure_rate);
@@ -237,7 +237,7 @@
 									 ? time
 									 : stats.mean_response_us + weight * (time - stats.mean_response_us);
 	}
-	if (result == replica_result::no_answer)
+	if (result == replica_result::no_response)
 	{
 		++stats.consecutive_failures;
 	}
@@ -255,7 +255,7 @@
 void replica_selector::record_domain_result(const replica& target, replica_result result, instant now)
 {
 	auto& unresponsive = domains_[target.domain].unresponsive;
-	if (result != replica_result::no_answer && result != replica_result::not_connected)
+	if (result != replica_result::no_response && result != replica_result::not_connected)
 	{
 		unresponsive.clear();
 		return;
--- a/tests/routing/replica_selector.cpp
+++ b/tests/routing/replica_selector.cpp
@@ -172,8 +172,8 @@
 {
 	selector_fixture fixture{4};
 	const auto failing = *fixture.replicas.find(replica_id{"r0"});
-	fixture.selector.record_result(failing, replica_result::no_answer, duration{}, fixture.now);
-	fixture.selector.record_result(failing, replica_result::no_answer, duration{}, fixture.now);
+	fixture.selector.record_result(failing, replica_result::no_response, duration{}, fixture.now);
+	fixture.selector.record_result(failing, replica_result::no_response, duration{}, fixture.now);
 	CHECK(fixture.ejections == 1);
 	for (int i = 0; i < 20; ++i)
 	{
@@ -181,7 +181,7 @@
 	}
 	fixture.now += seconds{2};
 	CHECK(fixture.choose()->id == failing.id);
-	fixture.selector.record_result(failing, replica_result::no_answer, duration{}, fixture.now);
+	fixture.selector.record_result(failing, replica_result::no_response, duration{}, fixture.now);
 	fixture.now += seconds{2};
 	CHECK(fixture.choose()->id != failing.id);
 	fixture.now += seconds{2};
@@ -194,8 +194,8 @@
 	for (const auto* id : {"r0", "r1", "r2"})
 	{
 		const auto failing = *fixture.replicas.find(replica_id{id});
-		fixture.selector.record_result(failing, replica_result::no_answer, duration{}, fixture.now);
-		fixture.selector.record_result(failing, replica_result::no_answer, duration{}, fixture.now);
+		fixture.selector.record_result(failing, replica_result::no_response, duration{}, fixture.now);
+		fixture.selector.record_result(failing, replica_result::no_response, duration{}, fixture.now);
 	}
 	CHECK(fixture.choose()->id.str() == "r0");
 }
@@ -256,7 +256,7 @@
 	for (const auto* id : {"r1", "r2"})
 	{
 		fixture.selector.record_result(
-			*fixture.replicas.find(replica_id{id}), replica_result::no_answer, duration{}, fixture.now);
+			*fixture.replicas.find(replica_id{id}), replica_result::no_response, duration{}, fixture.now);
 	}
 	selection far;
 	far.service = service_id{"s"};
