--- a/include/gingerdyke/routing/slow_start.hpp
+++ b/include/gingerdyke/routing/slow_start.hpp
@@ -59,8 +59,8 @@
 	/// \brief Applies the remaining warm-up time in a replica's entry, if there is one.
 	void apply_entry(const replica& target, instant now);
 
-	/// \brief Considers a replica cold for its service's warm-up time, because it may have restarted or
-	/// gone idle.
+	/// \brief Considers a replica cold for its service's warm-up time, because it has started, may have
+	/// restarted, or got no requests during an evacuation.
 	void assume_cold(const replica& target, cold_reason reason, instant now);
 
 	/// \brief Drops the state of a replica that is gone.
