--- a/include/gingerdyke/control/coordinator.hpp
+++ b/include/gingerdyke/control/coordinator.hpp
@@ -72,7 +72,7 @@
 	duration evidence_delay = std::chrono::milliseconds{1500};
 
 	/// Changes of replicas are gathered this long, so that many at once cost one call.
-	duration gather = std::chrono::milliseconds{150};
+	duration batch_delay = std::chrono::milliseconds{150};
 
 	/// How it reads through other VMs.
 	shared_store_tuning sharing;
--- a/include/gingerdyke/control/relay_codec.hpp
+++ b/include/gingerdyke/control/relay_codec.hpp
@@ -41,7 +41,7 @@
 	std::shared_ptr<const std::string> packed;
 
 	/// The VM that answers reads the registry through another one itself.
-	bool is_second_hand{};
+	bool is_relayed{};
 
 	/// There where the call came with a report.
 	std::optional<peer_summary> summary;
--- a/include/gingerdyke/control/row_json.hpp
+++ b/include/gingerdyke/control/row_json.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Reading the JSON value of a registry's row: whatever does not fit becomes a finding with its place.
+// Parses the JSON value of a registry row. Anything unexpected is reported as a finding that names the row.
 #pragma once
 
 #include <gingerdyke/base/json_source.hpp>
@@ -7,15 +7,15 @@
 
 namespace gingerdyke::control
 {
-/// \brief One finding about a row.
+/// \brief Returns a result that holds a single finding about a row.
 [[nodiscard]] inline tl::unexpected<findings> unreadable(const row& from, const std::string& why)
 {
 	return tl::make_unexpected(findings{{{from.table + "/" + from.key, "", 0}, why}});
 }
 
-/// \brief Parses a row and reads it.
-/// \param read Reads the parsed value; may throw what the JSON library throws.
-/// \returns What was read, or a finding.
+/// \brief Parses a row's value as JSON and converts it.
+/// \param read Converts the parsed value; may throw the exceptions of the JSON library.
+/// \returns The converted value, or a finding.
 template <typename T, typename Read>
 [[nodiscard]] checked<T> read_json(const row& from, const Read& read)
 {
--- a/include/gingerdyke/control/row_packing.hpp
+++ b/include/gingerdyke/control/row_packing.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Many rows in few bytes, for whole tables that pass between VMs.
+// Compression of full tables that are sent between VMs.
 #pragma once
 
 #include <gingerdyke/control/row_store.hpp>
@@ -10,14 +10,14 @@
 
 namespace gingerdyke::control
 {
-/// \brief Largest size, in bytes, of rows before they are packed: whatever claims to be larger is not read.
-inline constexpr std::size_t largest_packed_rows = 32U << 20U;
+/// \brief Maximum uncompressed size of packed rows, in bytes; input that declares more is rejected.
+inline constexpr std::size_t max_unpacked_bytes = 32U << 20U;
 
-/// \brief Packs rows, without their table (deflate, since the rows of a table are much alike). 3,000 entries
-/// of replicas, half a megabyte, take less than a tenth of that: on a link of 10 Mbit/s 50 ms in place of
-/// half a second.
+/// \brief Serializes rows, without their table name, and compresses them with deflate, since the rows of a
+/// table are very similar. 3,000 replica entries (half a megabyte) shrink to less than a tenth, so that they
+/// take 50 ms instead of half a second on a 10 Mbit/s link.
 [[nodiscard]] std::string pack_rows(const std::vector<row>& rows);
 
-/// \brief Reads packed rows; none where the bytes are no packed rows, or too many.
+/// \brief Reads packed rows; none if the bytes are malformed or declare more than `max_unpacked_bytes`.
 [[nodiscard]] std::optional<std::vector<row>> unpack_rows(std::string_view packed);
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/row_store.hpp
+++ b/include/gingerdyke/control/row_store.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The platform's registry as the product uses it: tables of rows, followed by their changes, written under
-// conditions. The platform adapter speaks to it; tests put a stand-in behind the same interface.
+// Interface to the platform's registry: versioned tables of rows with change feeds and conditional writes.
+// The platform adapter implements it; tests use a scripted implementation.
 #pragma once
 
 #include <chrono>
@@ -16,7 +16,7 @@
 using rollout::registry_time;
 using rollout::row_version;
 
-/// \brief One row, or the news that it is gone.
+/// \brief A row of a table, or the tombstone of a removed row.
 struct row
 {
 	std::string table;
@@ -26,45 +26,45 @@
 	bool removed{};
 };
 
-/// \brief Rows that a call answered with.
+/// \brief The rows returned by one read, with their version and age.
 struct row_batch
 {
 	std::vector<row> rows;
 
-	/// Newest version that the registry had; the next call continues there.
+	/// Newest version that the registry had; the next call continues from it.
 	row_version newest;
 
-	/// The registry's steady clock.
+	/// Registry's steady clock when it answered.
 	registry_time at{};
 
-	/// How old the answer was when it was given: 0 from the registry itself, more from another VM's copy.
+	/// Age of the data when the answer was given: 0 for the registry itself, more for another VM's copy.
 	duration age{};
 
-	/// From a VM that reads the registry through another one.
-	bool is_second_hand{};
+	/// True if the answering VM itself reads the registry through another VM.
+	bool is_relayed{};
 
-	/// How long the call was held before it was answered, at least: an answer without news, given after the
-	/// whole wait, tells that there was none all that time.
+	/// Lower bound on how long the call was held before it was answered. An answer without changes after the
+	/// full wait proves that there were none during that time.
 	duration held{};
 };
 
-/// \brief Why a call gave no rows.
+/// \brief Reasons why a read returns no rows.
 enum class store_error
 {
-	/// No answer, or none in time.
+	/// No answer within the time limit.
 	unreachable,
-	/// It answers that it can't serve now.
+	/// The registry, or the VM that was asked, reports that it cannot serve the request at present.
 	unavailable,
-	/// The history that the call continues from is gone: everything has to be read again.
+	/// The history to continue from has been discarded; the table has to be read in full again.
 	history_gone,
-	/// What it answered can't be understood.
+	/// The answer is malformed.
 	bad_answer,
 };
 
-/// \brief The word for an error.
+/// \brief Returns the name of an error as it is logged.
 [[nodiscard]] const char* name_of(store_error error) noexcept;
 
-/// \brief A change of several rows, all or none.
+/// \brief A transaction over several rows: all of it is applied or none.
 struct row_change
 {
 	struct condition
@@ -72,7 +72,7 @@
 		std::string table;
 		std::string key;
 
-		/// Version that the row must have; 0: there must be none.
+		/// Required version of the row; 0 if the row must not exist.
 		row_version version;
 	};
 
@@ -94,10 +94,10 @@
 	std::vector<removal> removes;
 };
 
-/// \brief Outcome of a change.
+/// \brief Outcome of a transaction.
 struct change_answer
 {
-	/// False where a condition did not hold; `rows` are then the rows as they are.
+	/// False if a condition did not hold; `rows` then holds the current rows.
 	bool done{};
 	std::vector<row> rows;
 };
@@ -105,25 +105,27 @@
 template <typename T>
 using store_result = tl::expected<T, store_error>;
 
-/// \brief The registry. Calls return at once; hooks are called later on the same event loop.
+/// \brief Asynchronous access to the registry. Calls return at once; their callbacks run later on the same
+/// event loop.
 class row_store
 {
   public:
 	virtual ~row_store() = default;
 
-	/// \brief Reads a whole table, over as many calls as it takes.
+	/// \brief Reads a full table, in as many calls as it takes.
 	virtual void read_all(const std::string& table, std::function<void(store_result<row_batch>)> done) = 0;
 
-	/// \brief Waits for changes of a table.
+	/// \brief Returns the changes of a table after a version, waiting for some if there are none (long
+	/// polling).
 	/// \param after Version to continue from.
-	/// \param wait How long to wait where there are none.
+	/// \param wait How long to wait if there are no changes.
 	virtual void follow(const std::string& table, row_version after, duration wait,
 		std::function<void(store_result<row_batch>)> done) = 0;
 
-	/// \brief Gives up all calls under way; they end as unreachable.
+	/// \brief Abandons all pending reads; they fail with `store_error::unreachable`.
 	virtual void abandon() = 0;
 
-	/// \brief Makes a change.
+	/// \brief Applies a transaction.
 	virtual void change(const row_change& what, std::function<void(store_result<change_answer>)> done) = 0;
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/suspect_rows.hpp
+++ b/include/gingerdyke/control/suspect_rows.hpp
@@ -38,7 +38,7 @@
 {
 	/// News is gathered for this long: one end brings one write for all requests that stood beside it.
 	/// Knowledge must be everywhere within the users' 3 s; a report takes 0.2 s and a feed as long.
-	duration gather = std::chrono::milliseconds{200};
+	duration batch_delay = std::chrono::milliseconds{200};
 
 	/// A write that failed is made again after this time.
 	duration again = std::chrono::milliseconds{700};
--- a/include/gingerdyke/control/table_cache.hpp
+++ b/include/gingerdyke/control/table_cache.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A VM's copy of one table of the registry, from which it answers other VMs.
+// Local copy of one registry table, from which a VM answers other VMs.
 #pragma once
 
 #include <gingerdyke/control/row_store.hpp>
@@ -8,57 +8,58 @@
 
 namespace gingerdyke::control
 {
-/// \brief Rows of one table, with those that are gone, so that changes can be told.
+/// \brief The rows of one table, including tombstones of removed rows so that removals can be reported as
+/// changes.
 class table_cache
 {
   public:
 	explicit table_cache(std::string table) : table_(std::move(table)) {}
 
-	/// \brief Takes the whole table.
+	/// \brief Replaces the copy by the full table.
 	void replace(const std::vector<row>& rows, row_version newest);
 
-	/// \brief Takes changes.
-	/// \returns What is news, in order: of several changes of a row the last one, and none that is older than
-	/// what is known. So it is the same for whoever reads the table, however the changes came.
+	/// \brief Applies changes.
+	/// \returns The rows that changed, by version: for several changes of a row only the last one, and none
+	/// that is older than the known row. The result is therefore the same for every reader, however the
+	/// changes were batched.
 	std::vector<row> apply(const std::vector<row>& rows, row_version newest);
 
-	/// \brief Notes that the copy was the newest at a moment, and the registry's clock now.
+	/// \brief Records that the copy was the newest at `at`, and the registry's clock at `now`.
 	void confirm(instant at, registry_time registry_now, instant now);
 
-	/// \brief Notes that the copy, once read, was still the newest at a moment.
-	void vouch(instant at);
+	/// \brief Records that the copy was still the newest at `at`; has no effect before the table was read.
+	void extend_confirmation(instant at);
 
-	/// \brief The whole table, or the changes after a version where that is known.
-	/// \param after None: the whole table.
-	/// \returns The rows, or why there are none.
+	/// \brief Returns the full table, or the changes after a version if the history goes back that far.
+	/// \param after None for the full table.
 	[[nodiscard]] store_result<row_batch> read(std::optional<row_version> after, instant now) const;
 
-	/// \brief What `read` tells, but for the rows.
-	[[nodiscard]] store_result<row_batch> read_head(instant now) const;
+	/// \brief Returns the result of `read` without its rows.
+	[[nodiscard]] store_result<row_batch> read_metadata(instant now) const;
 
-	/// \brief Whether there are changes after a version.
-	[[nodiscard]] bool has_news(row_version after) const noexcept { return newest_change_ > after; }
+	/// \brief Whether any row changed after a version.
+	[[nodiscard]] bool has_changes_after(row_version after) const noexcept { return newest_change_ > after; }
 
-	/// \brief True once the table was read.
-	[[nodiscard]] bool known() const noexcept { return confirmed_at_.has_value(); }
+	/// \brief Whether the table has been read.
+	[[nodiscard]] bool is_loaded() const noexcept { return confirmed_at_.has_value(); }
 
-	/// \brief How long ago the copy was the newest; only where it is known.
+	/// \brief Time since the copy was last known to be the newest; requires `is_loaded()`.
 	[[nodiscard]] duration age(instant now) const { return now - *confirmed_at_; }
 
 	[[nodiscard]] const std::string& table() const noexcept { return table_; }
 
   private:
 	void put(const row& one);
-	void forget_removed();
+	void prune_tombstones();
 
 	std::string table_;
 	std::map<std::string, row> rows_;
 	row_version newest_;
 	row_version newest_change_;
 
-	/// Changes are known from this version on.
-	row_version known_from_;
+	/// Oldest version after which all changes are known.
+	row_version history_start_;
 	std::optional<instant> confirmed_at_;
-	duration clock_offset_{};
+	duration registry_clock_offset_{};
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/table_follower.hpp
+++ b/include/gingerdyke/control/table_follower.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Keeps up with one table of the registry: reads it whole once, then follows its changes.
+// Follows one registry table: reads it in full once, then applies its changes.
 #pragma once
 
 #include <gingerdyke/base/random.hpp>
@@ -13,65 +13,66 @@
 /// \brief Tuning of `table_follower`.
 struct follower_tuning
 {
-	/// How long one call waits for changes. Each call is priced; news comes at once however long this is, but
-	/// the configuration counts as confirmed only when a call was sent.
+	/// Long-poll timeout of one call. Every call is billed. Changes arrive at once whatever the timeout, but
+	/// the data counts as confirmed only as of the time when a call was sent.
 	duration wait = std::chrono::milliseconds{1500};
 
-	/// Pause after changes, so that several come together; 0: none.
-	duration gather = duration{0};
+	/// Pause after an answer with changes, so that further changes arrive in one batch; 0 for none.
+	duration batch_delay = duration{0};
 
-	/// Pause after a call that failed, doubled each time up to the longest; spread at random by half.
-	duration first_pause = std::chrono::milliseconds{100};
-	duration longest_pause = std::chrono::milliseconds{500};
+	/// Backoff after a failed call, doubled after each failure up to the maximum, with a random spread of
+	/// 50%.
+	duration initial_backoff = std::chrono::milliseconds{100};
+	duration max_backoff = std::chrono::milliseconds{500};
 };
 
-/// \brief What a follower tells.
+/// \brief Callbacks of `table_follower`.
 struct follower_hooks
 {
-	/// The whole table as it is.
+	/// Called with the full table.
 	std::function<void(const std::vector<row>&)> replaced;
 
-	/// Rows that changed, in order, each once and as it is now.
+	/// Called with the rows that changed, ordered by version, each row once in its current state.
 	std::function<void(const std::vector<row>&)> changed;
 
-	/// A call was answered: what is known was the newest at a moment.
+	/// Called after each answer: the copy was the newest at `newest_at`, and the registry's clock read `at`.
 	std::function<void(instant newest_at, registry_time at)> confirmed;
 
-	/// A call failed.
-	std::function<void(store_error)> lost;
+	/// Called after each failed call.
+	std::function<void(store_error)> failed;
 };
 
-/// \brief Follows a table. Never takes rows older than those that it has given already.
+/// \brief Follows a table. Never applies rows older than those it has already passed on.
 class table_follower
 {
   public:
 	table_follower(proxy::asio::io_context& context, row_store& store, std::string table,
 		random_source random, follower_hooks hooks, follower_tuning tuning = {});
 
-	/// \brief Begins to follow the table, or goes on after a stop; it is then read whole again.
+	/// \brief Starts to follow the table, or resumes after `stop`; the table is then read in full again.
 	void start();
 	void stop();
 
-	/// \brief Notes that the copy was still the newest at a moment.
-	void vouch(instant newest_at) { cache_.vouch(newest_at); }
+	/// \brief Records that the copy was still the newest at a moment.
+	void extend_confirmation(instant newest_at) { cache_.extend_confirmation(newest_at); }
 
-	/// \brief The table as it is known, for other VMs.
+	/// \brief The local copy, from which other VMs are answered.
 	[[nodiscard]] const table_cache& cache() const noexcept { return cache_; }
 
   private:
-	void call();
+	void read_next();
 	void read_all();
 	void follow();
-	void on_all(store_result<row_batch> result, instant sent_at);
+	void on_full_read(store_result<row_batch> result, instant sent_at);
 	void on_changes(store_result<row_batch> result, instant sent_at);
-	[[nodiscard]] bool is_over(unsigned run) const noexcept { return stopped_ || run != run_; }
+	[[nodiscard]] bool is_superseded(unsigned run_id) const noexcept { return stopped_ || run_id != run_id_; }
 	[[nodiscard]] static instant newest_at(instant sent_at, const row_batch& batch);
-	void log_superseded(std::size_t rows, std::size_t news) const;
+	void log_superseded(std::size_t rows, std::size_t changed_rows) const;
 	void confirm_cache(instant sent_at, const row_batch& batch);
 	void note_success(instant sent_at, const row_batch& batch);
 	void note_failure(store_error error);
-	void pause_then_call();
-	void call_after(duration pause);
+	void retry_after_backoff();
+	void read_next_after(duration pause);
 
 	row_store& store_;
 	table_cache cache_;
@@ -80,16 +81,16 @@
 	follower_tuning tuning_;
 	proxy::boot_timer timer_;
 
-	/// Version that the next call continues from; none: the table has to be read whole.
-	std::optional<row_version> next_;
+	/// Version from which the next call continues; none if the full table has to be read.
+	std::optional<row_version> resume_version_;
 
-	/// Newest version ever given: an older table is not taken.
-	std::optional<row_version> known_;
-	duration pause_;
-	bool is_lost_ = false;
+	/// Newest version seen; a full table of an older version is rejected.
+	std::optional<row_version> newest_seen_;
+	duration backoff_;
+	bool is_failing_ = false;
 	bool stopped_ = true;
 
-	/// Counts the starts: what was called before a stop is not heard after it.
-	unsigned run_ = 0;
+	/// Incremented by each start, so that answers to calls made before a stop are ignored.
+	unsigned run_id_ = 0;
 };
 } // namespace gingerdyke::control
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -74,17 +74,17 @@
 				  expire_replicas();
 			  },
 			  [this](store_error) { gateway_.replicas().note_unsound(proxy::steady_now()); }},
-		  {.wait = tuning_.replica_wait, .gather = tuning_.gather}),
+		  {.wait = tuning_.replica_wait, .batch_delay = tuning_.batch_delay}),
 	  own_(gateway.context(), store_, layout_.own_table, random,
 		  {[this](const auto& rows) { on_own_rows(rows); }, [this](const auto& rows) { on_own_rows(rows); },
 			  [this](instant newest_at, registry_time) { gateway_.vms().confirm(newest_at); },
 			  [](store_error) {}},
-		  {.wait = tuning_.other_wait, .gather = tuning_.gather}),
+		  {.wait = tuning_.other_wait, .batch_delay = tuning_.batch_delay}),
 	  evidence_(gateway.context(), registry, layout_.evidence_table, random,
 		  {[this](const auto& rows) { on_evidence_rows(rows); },
 			  [this](const auto& rows) { on_evidence_rows(rows); }, [](instant, registry_time) {},
 			  [](store_error) {}},
-		  {.wait = tuning_.evidence_wait, .gather = tuning_.gather})
+		  {.wait = tuning_.evidence_wait, .batch_delay = tuning_.batch_delay})
 {
 }
 
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -35,7 +35,7 @@
 {
 	if (auto* follower = follower_of(table))
 	{
-		follower->vouch(newest_at);
+		follower->extend_confirmation(newest_at);
 	}
 	if (table == layout_.replica_table)
 	{
--- a/src/control/relay_client.cpp
+++ b/src/control/relay_client.cpp
@@ -102,7 +102,7 @@
 	}
 	if (answer->result)
 	{
-		answer->result->is_second_hand = answer->is_second_hand;
+		answer->result->is_relayed = answer->is_relayed;
 	}
 	end_call(answer->call, std::move(answer->result));
 }
--- a/src/control/relay_codec.cpp
+++ b/src/control/relay_codec.cpp
@@ -97,7 +97,7 @@
 {
 	wire::RelayAnswer message;
 	message.call = answer.call;
-	if (answer.is_second_hand)
+	if (answer.is_relayed)
 	{
 		message.__set_second_hand(true);
 	}
@@ -176,7 +176,7 @@
 	}
 	relay_answer answer;
 	answer.call = message->call;
-	answer.is_second_hand = message->__isset.second_hand && message->second_hand;
+	answer.is_relayed = message->__isset.second_hand && message->second_hand;
 	if (message->__isset.summary)
 	{
 		answer.summary = read(message->summary);
--- a/src/control/relay_server.cpp
+++ b/src/control/relay_server.cpp
@@ -80,18 +80,18 @@
 bool relay_server::has_answer(const relay_poll& poll) const
 {
 	const auto* cache = hooks_.find(poll.table);
-	if (cache == nullptr || !cache->known())
+	if (cache == nullptr || !cache->is_loaded())
 	{
 		return false;
 	}
-	return useless_in(poll) < duration{0} || !poll.after || cache->has_news(*poll.after);
+	return useless_in(poll) < duration{0} || !poll.after || cache->has_changes_after(*poll.after);
 }
 
 /// Until this VM's copy is too old for the asker, unless it is confirmed meanwhile.
 duration relay_server::useless_in(const relay_poll& poll) const
 {
 	const auto* cache = hooks_.find(poll.table);
-	if (cache == nullptr || !cache->known() || !poll.oldest)
+	if (cache == nullptr || !cache->is_loaded() || !poll.oldest)
 	{
 		return duration::max();
 	}
@@ -118,7 +118,7 @@
 	const auto* cache = hooks_.find(to.poll.table);
 	relay_answer made;
 	made.call = to.poll.call;
-	made.is_second_hand = !hooks_.reads_registry(to.poll.table);
+	made.is_relayed = !hooks_.reads_registry(to.poll.table);
 	if (cache == nullptr)
 	{
 		made.result = tl::make_unexpected(store_error::unavailable);
@@ -137,7 +137,7 @@
 void relay_server::add_rows(const table_cache& from, const relay_poll& poll, relay_answer& to)
 {
 	const auto now = proxy::steady_now();
-	to.result = poll.after ? from.read(poll.after, now) : from.read_head(now);
+	to.result = poll.after ? from.read(poll.after, now) : from.read_metadata(now);
 	if (poll.after || !to.result)
 	{
 		return;
--- a/src/control/row_packing.cpp
+++ b/src/control/row_packing.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Many rows in few bytes.
+// Compression of full tables that are sent between VMs.
 #include "relay_types.h"
 #include <boost/beast/zlib/deflate_stream.hpp>
 #include <boost/beast/zlib/inflate_stream.hpp>
@@ -16,14 +16,14 @@
 using apache::thrift::protocol::TCompactProtocol;
 using apache::thrift::transport::TMemoryBuffer;
 
-/// Rows are alike within some hundred bytes: a small window finds that, and costs little memory.
+/// Similar content repeats within a few hundred bytes, so a small window finds it and uses little memory.
 constexpr int window_bits = 12;
-constexpr int memory_level = 6;
+constexpr int deflate_memory_level = 6;
 
-/// The fastest level: a VM packs while others wait for it.
-constexpr int level = 1;
+/// Fastest compression level: other VMs wait while this one compresses.
+constexpr int compression_level = 1;
 
-/// The packed form begins with the size that it unpacks to.
+/// Prefix that holds the uncompressed size, in bytes.
 using size_field = std::uint32_t;
 
 std::string deflate(const std::string& bytes)
@@ -32,7 +32,7 @@
 	std::string packed(sizeof size + zlib::deflate_upper_bound(bytes.size()), '\0');
 	boost::endian::store_big_u32(reinterpret_cast<unsigned char*>(packed.data()), size);
 	zlib::deflate_stream stream;
-	stream.reset(level, window_bits, memory_level, zlib::Strategy::normal);
+	stream.reset(compression_level, window_bits, deflate_memory_level, zlib::Strategy::normal);
 	zlib::z_params state;
 	state.next_in = bytes.data();
 	state.avail_in = bytes.size();
@@ -51,7 +51,7 @@
 		return std::nullopt;
 	}
 	const auto size = boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(packed.data()));
-	if (size > largest_packed_rows)
+	if (size > max_unpacked_bytes)
 	{
 		return std::nullopt;
 	}
@@ -65,7 +65,8 @@
 	state.avail_out = bytes.size();
 	boost::beast::error_code ended;
 	stream.write(state, zlib::Flush::finish, ended);
-	// Whether the mark of the end is reported depends on how the last bits fall; the size does not.
+	// Whether the end-of-stream marker is reported depends on the alignment of the last bits, so the output
+	// size is checked instead.
 	return state.total_out == size ? std::optional{std::move(bytes)} : std::nullopt;
 }
 } // namespace
--- a/src/control/shared_store.cpp
+++ b/src/control/shared_store.cpp
@@ -252,7 +252,7 @@
 	if (is_fresh)
 	{
 		note_newest(call.table, sent_at + result->held - result->age);
-		if (result->is_second_hand)
+		if (result->is_relayed)
 		{
 			sources_.note_unusable(from, proxy::steady_now());
 		}
--- a/src/control/suspect_rows.cpp
+++ b/src/control/suspect_rows.cpp
@@ -125,7 +125,7 @@
 
 void suspect_rows::arm()
 {
-	arm_after(tuning_.gather);
+	arm_after(tuning_.batch_delay);
 }
 
 void suspect_rows::arm_after(duration pause)
--- a/src/control/table_cache.cpp
+++ b/src/control/table_cache.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A VM's copy of one table of the registry.
+// Local copy of one registry table.
 #include <algorithm>
 #include <gingerdyke/control/table_cache.hpp>
 #include <set>
@@ -8,10 +8,11 @@
 {
 namespace
 {
-/// Rows that are gone are kept up to this many, so that others learn of them; then the oldest are forgotten.
-constexpr std::size_t most_removed = 2000;
+/// Maximum number of tombstones kept to report removals; beyond it all of them are dropped, and readers that
+/// are behind have to read the full table.
+constexpr std::size_t max_tombstones = 2000;
 
-bool is_older(const row& a, const row& b) noexcept
+bool has_lower_version(const row& a, const row& b) noexcept
 {
 	return a.version < b.version;
 }
@@ -28,17 +29,18 @@
 	{
 		if (!next.contains(key))
 		{
-			auto gone = known;
-			// It went at some moment up to now; who knows the table only until then has to hear of it.
-			gone.version = known.removed ? known.version : newest;
-			gone.removed = true;
-			gone.value.clear();
-			next[key] = std::move(gone);
+			auto tombstone = known;
+			// The row was removed at an unknown version up to `newest`; `newest` makes every reader of an
+			// older version learn of the removal.
+			tombstone.version = known.removed ? known.version : newest;
+			tombstone.removed = true;
+			tombstone.value.clear();
+			next[key] = std::move(tombstone);
 		}
 	}
 	if (rows_.empty())
 	{
-		known_from_ = newest;
+		history_start_ = newest;
 	}
 	rows_.clear();
 	for (const auto& [key, one] : next)
@@ -46,31 +48,31 @@
 		put(one);
 	}
 	newest_ = std::max(newest_, newest);
-	forget_removed();
+	prune_tombstones();
 }
 
 std::vector<row> table_cache::apply(const std::vector<row>& rows, row_version newest)
 {
-	std::set<std::string> changed;
+	std::set<std::string> changed_keys;
 	for (const auto& one : rows)
 	{
 		const auto known = rows_.find(one.key);
 		if (known == rows_.end() || known->second.version < one.version)
 		{
 			put(one);
-			changed.insert(one.key);
+			changed_keys.insert(one.key);
 		}
 	}
-	std::vector<row> news;
-	news.reserve(changed.size());
-	for (const auto& key : changed)
+	std::vector<row> changed_rows;
+	changed_rows.reserve(changed_keys.size());
+	for (const auto& key : changed_keys)
 	{
-		news.push_back(rows_.at(key));
+		changed_rows.push_back(rows_.at(key));
 	}
-	std::sort(news.begin(), news.end(), is_older);
+	std::sort(changed_rows.begin(), changed_rows.end(), has_lower_version);
 	newest_ = std::max(newest_, newest);
-	forget_removed();
-	return news;
+	prune_tombstones();
+	return changed_rows;
 }
 
 void table_cache::put(const row& one)
@@ -79,23 +81,23 @@
 	newest_change_ = std::max(newest_change_, one.version);
 }
 
-void table_cache::forget_removed()
+void table_cache::prune_tombstones()
 {
 	const auto is_removed = [](const auto& entry) { return entry.second.removed; };
-	if (static_cast<std::size_t>(std::count_if(rows_.begin(), rows_.end(), is_removed)) > most_removed)
+	if (static_cast<std::size_t>(std::count_if(rows_.begin(), rows_.end(), is_removed)) > max_tombstones)
 	{
 		std::erase_if(rows_, is_removed);
-		known_from_ = std::max(newest_, newest_change_);
+		history_start_ = std::max(newest_, newest_change_);
 	}
 }
 
 void table_cache::confirm(instant at, registry_time registry_now, instant now)
 {
 	confirmed_at_ = confirmed_at_ ? std::max(*confirmed_at_, at) : at;
-	clock_offset_ = registry_now - now.time_since_epoch();
+	registry_clock_offset_ = registry_now - now.time_since_epoch();
 }
 
-void table_cache::vouch(instant at)
+void table_cache::extend_confirmation(instant at)
 {
 	if (confirmed_at_)
 	{
@@ -103,7 +105,7 @@
 	}
 }
 
-store_result<row_batch> table_cache::read_head(instant now) const
+store_result<row_batch> table_cache::read_metadata(instant now) const
 {
 	if (!confirmed_at_)
 	{
@@ -111,31 +113,31 @@
 	}
 	row_batch batch;
 	batch.newest = std::max(newest_, newest_change_);
-	batch.at = now.time_since_epoch() + clock_offset_;
+	batch.at = now.time_since_epoch() + registry_clock_offset_;
 	batch.age = age(now);
 	return batch;
 }
 
 store_result<row_batch> table_cache::read(std::optional<row_version> after, instant now) const
 {
-	auto batch = read_head(now);
+	auto batch = read_metadata(now);
 	if (!batch)
 	{
 		return batch;
 	}
-	if (after && *after < known_from_)
+	if (after && *after < history_start_)
 	{
 		return tl::make_unexpected(store_error::history_gone);
 	}
 	for (const auto& [key, one] : rows_)
 	{
-		const bool is_wanted = after ? one.version > *after : !one.removed;
-		if (is_wanted)
+		const bool is_included = after ? one.version > *after : !one.removed;
+		if (is_included)
 		{
 			batch->rows.push_back(one);
 		}
 	}
-	std::sort(batch->rows.begin(), batch->rows.end(), is_older);
+	std::sort(batch->rows.begin(), batch->rows.end(), has_lower_version);
 	return batch;
 }
 } // namespace gingerdyke::control
--- a/src/control/table_follower.cpp
+++ b/src/control/table_follower.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Keeps up with one table of the registry.
+// Follows one registry table.
 #include <algorithm>
 #include <gingerdyke/control/table_follower.hpp>
 #include <gingerdyke/log/log.hpp>
@@ -25,7 +25,7 @@
 table_follower::table_follower(proxy::asio::io_context& context, row_store& store, std::string table,
 	random_source random, follower_hooks hooks, follower_tuning tuning)
 	: store_(store), cache_(std::move(table)), random_(std::move(random)), hooks_(std::move(hooks)),
-	  tuning_(tuning), timer_(context), pause_(tuning.first_pause)
+	  tuning_(tuning), timer_(context), backoff_(tuning.initial_backoff)
 {
 }
 
@@ -34,9 +34,9 @@
 	if (stopped_)
 	{
 		stopped_ = false;
-		++run_;
-		next_.reset();
-		call();
+		++run_id_;
+		resume_version_.reset();
+		read_next();
 	}
 }
 
@@ -46,9 +46,9 @@
 	timer_.cancel();
 }
 
-void table_follower::call()
+void table_follower::read_next()
 {
-	if (next_)
+	if (resume_version_)
 	{
 		follow();
 	}
@@ -62,11 +62,11 @@
 {
 	const auto sent_at = proxy::steady_now();
 	store_.read_all(cache_.table(),
-		[this, sent_at, run = run_](store_result<row_batch> result)
+		[this, sent_at, run_id = run_id_](store_result<row_batch> result)
 		{
-			if (!is_over(run))
+			if (!is_superseded(run_id))
 			{
-				on_all(std::move(result), sent_at);
+				on_full_read(std::move(result), sent_at);
 			}
 		});
 }
@@ -74,32 +74,33 @@
 void table_follower::follow()
 {
 	const auto sent_at = proxy::steady_now();
-	store_.follow(cache_.table(), *next_, tuning_.wait,
-		[this, sent_at, run = run_](store_result<row_batch> result)
+	store_.follow(cache_.table(), *resume_version_, tuning_.wait,
+		[this, sent_at, run_id = run_id_](store_result<row_batch> result)
 		{
-			if (!is_over(run))
+			if (!is_superseded(run_id))
 			{
 				on_changes(std::move(result), sent_at);
 			}
 		});
 }
 
-void table_follower::on_all(store_result<row_batch> result, instant sent_at)
+void table_follower::on_full_read(store_result<row_batch> result, instant sent_at)
 {
 	if (!result)
 	{
 		note_failure(result.error());
 		return;
 	}
-	if (known_ && result->newest < *known_)
+	if (newest_seen_ && result->newest < *newest_seen_)
 	{
-		log::write(log::level::warn, "registry answered from the past",
-			{{"table", cache_.table()}, {"newest", result->newest.value()}, {"known", known_->value()}});
-		pause_then_call();
+		log::write(log::level::warn, "registry returned an older table version",
+			{{"table", cache_.table()}, {"newest", result->newest.value()},
+				{"known", newest_seen_->value()}});
+		retry_after_backoff();
 		return;
 	}
-	next_ = result->newest;
-	known_ = result->newest;
+	resume_version_ = result->newest;
+	newest_seen_ = result->newest;
 	cache_.replace(result->rows, result->newest);
 	confirm_cache(sent_at, *result);
 	hooks_.replaced(result->rows);
@@ -114,35 +115,37 @@
 		note_failure(result.error());
 		return;
 	}
-	next_ = std::max(*next_, result->newest);
-	known_ = std::max(*known_, result->newest);
-	const auto news = cache_.apply(result->rows, result->newest);
-	log_superseded(result->rows.size(), news.size());
+	resume_version_ = std::max(*resume_version_, result->newest);
+	newest_seen_ = std::max(*newest_seen_, result->newest);
+	const auto changed_rows = cache_.apply(result->rows, result->newest);
+	log_superseded(result->rows.size(), changed_rows.size());
 	confirm_cache(sent_at, *result);
-	if (!news.empty())
+	if (!changed_rows.empty())
 	{
-		hooks_.changed(news);
+		hooks_.changed(changed_rows);
 	}
 	note_success(sent_at, *result);
-	if (!result->rows.empty() && tuning_.gather > duration{0})
+	if (!result->rows.empty() && tuning_.batch_delay > duration{0})
 	{
-		call_after(tuning_.gather);
+		read_next_after(tuning_.batch_delay);
 		return;
 	}
 	follow();
 }
 
-/// One answer may tell of several changes of a row, or of what is known.
-void table_follower::log_superseded(std::size_t rows, std::size_t news) const
+/// Logs rows that were dropped because the same answer held a newer change of the row, or because the row was
+/// known already.
+void table_follower::log_superseded(std::size_t rows, std::size_t changed_rows) const
 {
-	if (news < rows)
+	if (changed_rows < rows)
 	{
 		log::write(log::level::info, "rows superseded",
-			{{"table", cache_.table()}, {"rows", rows}, {"superseded", rows - news}});
+			{{"table", cache_.table()}, {"rows", rows}, {"superseded", rows - changed_rows}});
 	}
 }
 
-/// The answer was given after the call was sent and held; a copy was the newest as long before as it is old.
+/// Returns when the rows of an answer were the newest: the answer was given at least `held` after the call
+/// was sent, and its rows were `age` old by then.
 instant table_follower::newest_at(instant sent_at, const row_batch& batch)
 {
 	return sent_at + batch.held - batch.age;
@@ -155,11 +158,11 @@
 
 void table_follower::note_success(instant sent_at, const row_batch& batch)
 {
-	pause_ = tuning_.first_pause;
-	if (is_lost_)
+	backoff_ = tuning_.initial_backoff;
+	if (is_failing_)
 	{
-		is_lost_ = false;
-		log::write(log::level::info, "registry regained", {{"table", cache_.table()}});
+		is_failing_ = false;
+		log::write(log::level::info, "registry reads recovered", {{"table", cache_.table()}});
 	}
 	hooks_.confirmed(newest_at(sent_at, batch), batch.at);
 }
@@ -168,29 +171,31 @@
 {
 	if (error == store_error::history_gone)
 	{
-		log::write(log::level::info, "registry forgot its history", {{"table", cache_.table()}});
-		next_.reset();
-		pause_then_call();
+		log::write(
+			log::level::info, "registry history discarded, reading full table", {{"table", cache_.table()}});
+		resume_version_.reset();
+		retry_after_backoff();
 		return;
 	}
-	if (!is_lost_)
+	if (!is_failing_)
 	{
-		is_lost_ = true;
-		log::write(log::level::warn, "registry lost", {{"table", cache_.table()}, {"why", name_of(error)}});
+		is_failing_ = true;
+		log::write(
+			log::level::warn, "registry reads failing", {{"table", cache_.table()}, {"why", name_of(error)}});
 	}
-	hooks_.lost(error);
-	pause_then_call();
+	hooks_.failed(error);
+	retry_after_backoff();
 }
 
-void table_follower::pause_then_call()
+void table_follower::retry_after_backoff()
 {
 	const auto spread = 0.5 + random_unit(random_);
-	const auto pause = scaled(pause_, spread);
-	pause_ = std::min<duration>(pause_ * 2, tuning_.longest_pause);
-	call_after(pause);
+	const auto pause = scaled(backoff_, spread);
+	backoff_ = std::min<duration>(backoff_ * 2, tuning_.max_backoff);
+	read_next_after(pause);
 }
 
-void table_follower::call_after(duration pause)
+void table_follower::read_next_after(duration pause)
 {
 	timer_.expires_after(pause);
 	timer_.async_wait(
@@ -198,7 +203,7 @@
 		{
 			if (!error && !stopped_)
 			{
-				call();
+				read_next();
 			}
 		});
 }
--- a/tests/control/row_packing.cpp
+++ b/tests/control/row_packing.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Whole tables in few bytes.
+// Compression of full tables.
 #include "../support/control_world.hpp"
 #include <gingerdyke/control/relay_codec.hpp>
 #include <gingerdyke/control/row_packing.hpp>
@@ -9,25 +9,25 @@
 
 namespace
 {
-/// Entries as replicas write them.
+/// Replica entries in the format that replicas write.
 std::vector<row> replicas(unsigned count)
 {
 	std::vector<row> rows;
 	for (unsigned i = 0; i < count; ++i)
 	{
-		const auto mixed = std::to_string(i * 2654435761U);
-		rows.push_back({"t", "i-" + mixed,
-			R"({"service":"pool","address":"10.)" + std::to_string(i % 5) + ".64." + mixed.substr(0, 2) +
+		const auto scrambled = std::to_string(i * 2654435761U);
+		rows.push_back({"t", "i-" + scrambled,
+			R"({"service":"pool","address":"10.)" + std::to_string(i % 5) + ".64." + scrambled.substr(0, 2) +
 				R"(:8326","zone":"hall-)" + std::to_string(i % 5) +
 				R"(","version":"v1","slots":12,"state":"ready","cold_remaining_ms":0,"sequence":)" +
-				mixed.substr(0, 3) + "}",
+				scrambled.substr(0, 3) + "}",
 			row_version{1000 + i}, i % 97 == 0});
 	}
 	return rows;
 }
 } // namespace
 
-TEST_CASE("packed rows come back as they were, in a sixth of the bytes", "[packing]")
+TEST_CASE("packed rows round-trip and take less than a sixth of the bytes", "[packing]")
 {
 	const auto rows = replicas(3000);
 	std::size_t bytes = 0;
@@ -37,33 +37,33 @@
 	}
 	const auto packed = pack_rows(rows);
 	CHECK(packed.size() * 6 < bytes);
-	const auto back = unpack_rows(packed);
-	REQUIRE(back);
-	REQUIRE(back->size() == rows.size());
+	const auto unpacked = unpack_rows(packed);
+	REQUIRE(unpacked);
+	REQUIRE(unpacked->size() == rows.size());
 	for (std::size_t i = 0; i < rows.size(); ++i)
 	{
-		REQUIRE((*back)[i].key == rows[i].key);
-		REQUIRE((*back)[i].value == rows[i].value);
-		REQUIRE((*back)[i].version == rows[i].version);
-		REQUIRE((*back)[i].removed == rows[i].removed);
+		REQUIRE((*unpacked)[i].key == rows[i].key);
+		REQUIRE((*unpacked)[i].value == rows[i].value);
+		REQUIRE((*unpacked)[i].version == rows[i].version);
+		REQUIRE((*unpacked)[i].removed == rows[i].removed);
 	}
 	CHECK(unpack_rows(pack_rows({}))->empty());
 }
 
-TEST_CASE("bytes that are no packed rows are refused", "[packing]")
+TEST_CASE("malformed packed rows are rejected", "[packing]")
 {
 	CHECK_FALSE(unpack_rows(""));
 	CHECK_FALSE(unpack_rows("not packed"));
-	auto cut = pack_rows(replicas(100));
-	cut.resize(cut.size() / 2);
-	CHECK_FALSE(unpack_rows(cut));
-	auto spoilt = pack_rows(replicas(100));
-	spoilt[spoilt.size() / 2] = static_cast<char>(spoilt[spoilt.size() / 2] ^ 0x55);
-	const auto back = unpack_rows(spoilt);
-	CHECK((!back || back->size() <= 100));
+	auto truncated = pack_rows(replicas(100));
+	truncated.resize(truncated.size() / 2);
+	CHECK_FALSE(unpack_rows(truncated));
+	auto corrupted = pack_rows(replicas(100));
+	corrupted[corrupted.size() / 2] = static_cast<char>(corrupted[corrupted.size() / 2] ^ 0x55);
+	const auto unpacked = unpack_rows(corrupted);
+	CHECK((!unpacked || unpacked->size() <= 100));
 }
 
-TEST_CASE("a whole table comes packed from another VM, its changes as they are", "[packing][relay]")
+TEST_CASE("another VM sends a full table packed and changes unpacked", "[packing][relay]")
 {
 	relay_pair pair;
 	pair.client->call({0, "t", std::nullopt, milliseconds{200}, {}, {}}, seconds{20},
--- a/tests/control/suspect_rows.cpp
+++ b/tests/control/suspect_rows.cpp
@@ -53,7 +53,8 @@
 	proxy::asio::io_context context{1};
 	recording_store store;
 	quarantine::suspect_list list{[](const suspicion&, double) {}};
-	suspect_rows rows{context, store, list, "own", {.gather = milliseconds{1}, .again = milliseconds{1}}};
+	suspect_rows rows{
+		context, store, list, "own", {.batch_delay = milliseconds{1}, .again = milliseconds{1}}};
 };
 } // namespace
 
--- a/tests/control/table_cache.cpp
+++ b/tests/control/table_cache.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-// A VM's copies of the registry's tables.
+// Local copies of registry tables.
 #include "../support/control_world.hpp"
 
 using namespace gingerdyke;
 using namespace gingerdyke::test;
 
-TEST_CASE("a copy tells all rows, or what changed since a version, and how old it is", "[cache]")
+TEST_CASE("a cache returns all rows or the changes since a version, with its age", "[cache]")
 {
 	table_cache cache{"t"};
 	CHECK(cache.read(std::nullopt, start).error() == store_error::unavailable);
@@ -20,7 +20,7 @@
 	CHECK(cache.read(row_version{2}, start).error() == store_error::history_gone);
 }
 
-TEST_CASE("rows that are missing when a table is read again are told as gone", "[cache]")
+TEST_CASE("rows missing from a repeated full read are reported as removed", "[cache]")
 {
 	table_cache cache{"t"};
 	cache.replace({make_row("a", 3), make_row("b", 5)}, row_version{7});
