--- a/include/gingerdyke/control/coordinator.hpp
+++ b/include/gingerdyke/control/coordinator.hpp
@@ -129,7 +129,7 @@
 	void expire_replicas();
 	void write_due();
 	void write(const rollout::shift_write& what);
-	void on_written(store_result<change_answer> answer);
+	void on_written(store_result<change_result> answer);
 
 	// What VMs that read through each other tell one another.
 	void on_vouched(const std::string& table, instant newest_at);
--- a/include/gingerdyke/control/row_store.hpp
+++ b/include/gingerdyke/control/row_store.hpp
@@ -91,11 +91,11 @@
 
 	std::vector<condition> conditions;
 	std::vector<put> puts;
-	std::vector<removal> removes;
+	std::vector<removal> removals;
 };
 
 /// \brief Outcome of a transaction.
-struct change_answer
+struct change_result
 {
 	/// False if a condition did not hold; `rows` then holds the current rows.
 	bool done{};
@@ -126,6 +126,6 @@
 	virtual void abandon() = 0;
 
 	/// \brief Applies a transaction.
-	virtual void change(const row_change& what, std::function<void(store_result<change_answer>)> done) = 0;
+	virtual void change(const row_change& what, std::function<void(store_result<change_result>)> done) = 0;
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/suspect_rows.hpp
+++ b/include/gingerdyke/control/suspect_rows.hpp
@@ -77,7 +77,7 @@
 	[[nodiscard]] row_change change_for(const std::vector<quarantine::suspicion>& news, instant now) const;
 	[[nodiscard]] row_change::condition unchanged(const std::string& key) const;
 	void on_written(const std::vector<quarantine::suspicion>& written, const row_change& change,
-		const store_result<change_answer>& answer);
+		const store_result<change_result>& answer);
 	void on_changed_meanwhile(const row_change& tried, const std::vector<row>& present, instant now);
 	void remove_old(instant now);
 	void take(const row& one, instant now);
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -144,7 +144,7 @@
 	row_change change;
 	change.puts.push_back({layout_.own_table, vm_prefix + self_.vm.str(), write_vm(self_)});
 	store_.change(change,
-		[this](const store_result<change_answer>& answer)
+		[this](const store_result<change_result>& answer)
 		{
 			if (answer)
 			{
@@ -443,10 +443,10 @@
 		const auto key = one.evidence.service.str() + "/" + reporter;
 		change.puts.push_back({layout_.evidence_table, key, write_evidence(one.evidence)});
 	}
-	store_.change(change, [this](store_result<change_answer> answer) { on_written(std::move(answer)); });
+	store_.change(change, [this](store_result<change_result> answer) { on_written(std::move(answer)); });
 }
 
-void coordinator::on_written(store_result<change_answer> answer)
+void coordinator::on_written(store_result<change_result> answer)
 {
 	if (!answer)
 	{
--- a/src/control/shared_store.cpp
+++ b/src/control/shared_store.cpp
@@ -23,7 +23,7 @@
 	read({table, after, wait, std::move(done), 0, tuning_.sources_to_follow});
 }
 
-void shared_store::change(const row_change& what, std::function<void(store_result<change_answer>)> done)
+void shared_store::change(const row_change& what, std::function<void(store_result<change_result>)> done)
 {
 	registry_.change(what, std::move(done));
 }
--- a/src/control/suspect_rows.cpp
+++ b/src/control/suspect_rows.cpp
@@ -169,7 +169,7 @@
 	const auto change = change_for(news, now);
 	is_writing_ = true;
 	registry_.change(change,
-		[this, news, change](const store_result<change_answer>& answer)
+		[this, news, change](const store_result<change_result>& answer)
 		{
 			is_writing_ = false;
 			on_written(news, change, answer);
@@ -198,7 +198,7 @@
 }
 
 void suspect_rows::on_written(const std::vector<quarantine::suspicion>& written, const row_change& change,
-	const store_result<change_answer>& answer)
+	const store_result<change_result>& answer)
 {
 	const auto now = proxy::steady_now();
 	if (!answer)
@@ -248,18 +248,18 @@
 	for (const auto& [key, known] : rows_)
 	{
 		const bool is_old = known.last_end && now - *known.last_end > tuning_.lifetime;
-		if (is_old && change.removes.size() < tuning_.most_rows)
+		if (is_old && change.removals.size() < tuning_.most_rows)
 		{
 			change.conditions.push_back(unchanged(key));
-			change.removes.push_back({table_, key});
+			change.removals.push_back({table_, key});
 		}
 	}
-	if (change.removes.empty())
+	if (change.removals.empty())
 	{
 		return;
 	}
 	registry_.change(change,
-		[this, change](const store_result<change_answer>& answer)
+		[this, change](const store_result<change_result>& answer)
 		{
 			if (!answer)
 			{
--- a/tests/control/suspect_rows.cpp
+++ b/tests/control/suspect_rows.cpp
@@ -14,13 +14,13 @@
 /// A registry that keeps what is written; answers wait until the test gives them.
 struct recording_store : scripted_store
 {
-	void change(const row_change& what, std::function<void(store_result<change_answer>)> done) override
+	void change(const row_change& what, std::function<void(store_result<change_result>)> done) override
 	{
 		changes.push_back(what);
 		waiting.push_back(std::move(done));
 	}
 
-	void answer(store_result<change_answer> result)
+	void answer(store_result<change_result> result)
 	{
 		const auto done = std::move(waiting.front());
 		waiting.erase(waiting.begin());
@@ -28,7 +28,7 @@
 	}
 
 	std::vector<row_change> changes;
-	std::vector<std::function<void(store_result<change_answer>)>> waiting;
+	std::vector<std::function<void(store_result<change_result>)>> waiting;
 };
 
 /// One VM's list with its rows.
@@ -86,7 +86,7 @@
 	CHECK(vm.store.changes.front().puts.front().key == "suspect/k");
 	vm.store.answer(tl::make_unexpected(store_error::unavailable));
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
-	vm.store.answer(change_answer{true, {}});
+	vm.store.answer(change_result{true, {}});
 	CHECK(vm.list.unstored(false, proxy::steady_now()).empty());
 	vm.rows.arm();
 	vm.context.restart();
@@ -101,7 +101,7 @@
 	vm.end(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 1; });
 	vm.end(3, "k");
-	vm.store.answer(change_answer{true, {}});
+	vm.store.answer(change_result{true, {}});
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	CHECK(read_suspicion(vm.stored_row())->known.ended.size() == 3);
 }
@@ -125,7 +125,7 @@
 		other.end(life, "k");
 	}
 	run_until(other.context, [&] { return other.store.changes.size() == 1; });
-	vm.store.answer(change_answer{false, {other.stored_row()}});
+	vm.store.answer(change_result{false, {other.stored_row()}});
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	REQUIRE(vm.store.changes.back().conditions.size() == 1);
 	CHECK(vm.store.changes.back().conditions.front().version == other.stored_row().version);
@@ -137,7 +137,7 @@
 {
 	constexpr std::size_t most_entries = 100;
 	const auto entries = [](const row_change& one)
-	{ return one.conditions.size() + one.puts.size() + one.removes.size(); };
+	{ return one.conditions.size() + one.puts.size() + one.removals.size(); };
 	stored_list vm;
 	std::vector<request_key> many;
 	for (int i = 0; i < 150; ++i)
@@ -161,7 +161,7 @@
 		REQUIRE(vm.store.waiting.size() == 2);
 		for (int i = 0; i < 2; ++i)
 		{
-			vm.store.answer(change_answer{true, {}});
+			vm.store.answer(change_result{true, {}});
 		}
 	}
 	for (const auto& one : vm.store.changes)
@@ -177,11 +177,11 @@
 	vm.end(1, "k");
 	vm.end(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 1; });
-	vm.store.answer(change_answer{true, {}});
+	vm.store.answer(change_result{true, {}});
 	vm.rows.on_row(vm.stored_row(), proxy::steady_now());
 	vm.end(3, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
-	vm.store.answer(change_answer{false, {}});
+	vm.store.answer(change_result{false, {}});
 	CHECK_FALSE(vm.list.is_held(request_key{"k"}, proxy::steady_now()));
 	vm.context.restart();
 	vm.context.run_for(milliseconds{20});
@@ -239,6 +239,6 @@
 	vm.end(1, "k");
 	vm.end(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
-	REQUIRE(vm.store.changes.back().removes.size() == 1);
-	CHECK(vm.store.changes.back().removes.front().key == "suspect/old");
+	REQUIRE(vm.store.changes.back().removals.size() == 1);
+	CHECK(vm.store.changes.back().removals.front().key == "suspect/old");
 }
--- a/tests/platform/platform.cpp
+++ b/tests/platform/platform.cpp
@@ -119,16 +119,16 @@
 	REQUIRE((*batch)->rows.size() == 1);
 	CHECK((*batch)->rows.front().removed);
 
-	std::optional<control::store_result<control::change_answer>> changed;
+	std::optional<control::store_result<control::change_result>> changed;
 	client.change({{{"own", "k", control::row_version{0}}}, {{"own", "k", "\"value\""}}, {}},
-		[&](control::store_result<control::change_answer> result) { changed = std::move(result); });
+		[&](control::store_result<control::change_result> result) { changed = std::move(result); });
 	run_until(context, [&] { return changed.has_value(); });
 	CHECK((*changed)->done);
 	CHECK(registry.value("own", "k") == "value");
 
 	changed.reset();
 	client.change({{{"own", "k", control::row_version{0}}}, {{"own", "k", "\"other\""}}, {}},
-		[&](control::store_result<control::change_answer> result) { changed = std::move(result); });
+		[&](control::store_result<control::change_result> result) { changed = std::move(result); });
 	run_until(context, [&] { return changed.has_value(); });
 	CHECK_FALSE((*changed)->done);
 	REQUIRE((*changed)->rows.size() == 1);
--- a/tests/support/control_world.hpp
+++ b/tests/support/control_world.hpp
@@ -109,7 +109,7 @@
 		follows.push_back({table, wait, std::move(done)});
 	}
 	void abandon() override { ++abandoned; }
-	void change(const row_change&, std::function<void(store_result<change_answer>)>) override {}
+	void change(const row_change&, std::function<void(store_result<change_result>)>) override {}
 
 	/// Answers the oldest call for a whole table.
 	void answer_whole(row_version newest)
