--- a/include/gingerdyke/control/coordinator.hpp
+++ b/include/gingerdyke/control/coordinator.hpp
@@ -141,7 +141,7 @@
 	[[nodiscard]] peer_summary summary_for(const std::string& reporter);
 	void on_summary(const peer_summary& summary);
 	void note_suspension();
-	void take_limits(const std::vector<routing::limit_news>& limits);
+	void apply_limits(const std::vector<routing::limit_news>& limits);
 	void take_suspects(const std::vector<quarantine::suspicion>& suspects);
 	void take_suspensions(const std::vector<rollout::shift_suspension>& suspended);
 	void note_work_of_others(std::vector<routing::replica_work> work);
@@ -154,7 +154,7 @@
 	source_selector sources_;
 	shared_store store_;
 	relay_server relay_;
-	report_board board_;
+	report_board reports_;
 	suspect_rows suspects_;
 	suspension_watch suspensions_;
 	std::map<vm_id, peer> vms_;
--- a/include/gingerdyke/control/frame_link.hpp
+++ b/include/gingerdyke/control/frame_link.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One connection between two VMs: frames out, frames in.
+// Connection between two VMs that carries frames in both directions.
 #pragma once
 
 #include <functional>
@@ -9,48 +9,48 @@
 
 namespace gingerdyke::control
 {
-/// \brief What a link tells.
+/// \brief Callbacks of `frame_link`.
 struct frame_link_hooks
 {
-	/// A frame came; without its length.
-	std::function<void(std::string_view frame)> received;
+	/// Called with each received frame, without its length prefix.
+	std::function<void(std::string_view frame)> frame_received;
 
-	/// The connection is over. Nothing follows.
-	std::function<void()> ended;
+	/// Called once when the connection fails or is closed by the other side; no other callback follows.
+	std::function<void()> closed;
 };
 
-/// \brief One connection that carries frames.
+/// \brief Sends and receives frames over one TCP connection.
 class frame_link : public std::enable_shared_from_this<frame_link>
 {
   public:
 	frame_link(proxy::tcp::socket socket, frame_link_hooks hooks);
 
-	/// \brief Begins to read on a connection that is up.
+	/// \brief Starts to read and write on an established connection.
 	void start();
 
-	/// \brief Connects first; frames sent meanwhile wait.
+	/// \brief Establishes the connection and then starts; frames sent before that are queued.
 	void connect(const proxy::tcp::endpoint& to);
 
 	void send(const std::string& frame);
 
-	/// \brief Whether the connection came up.
-	[[nodiscard]] bool is_up() const noexcept { return up_; }
+	/// \brief Whether the connection was established.
+	[[nodiscard]] bool is_connected() const noexcept { return connected_; }
 
-	/// \brief Closes without calling `ended`.
+	/// \brief Closes the connection without calling `closed`.
 	void close();
 
   private:
 	void read();
 	void on_read(const proxy::error_code& error, std::size_t size);
 	void write();
-	void end();
+	void fail();
 
 	proxy::tcp::socket socket_;
 	frame_link_hooks hooks_;
 	proxy::beast::flat_buffer buffer_;
-	std::string pending_;
-	std::string writing_;
-	bool up_ = false;
+	std::string queued_bytes_;
+	std::string bytes_in_flight_;
+	bool connected_ = false;
 	bool closed_ = false;
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/peer_report.hpp
+++ b/include/gingerdyke/control/peer_report.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What a VM tells the VM that it reads the registry through, and what it is told in return.
+// Messages that accompany a VM's polls of another VM: the report it sends and the summary it gets back.
 #pragma once
 
 #include <gingerdyke/quarantine/suspect_list.hpp>
@@ -11,44 +11,44 @@
 
 namespace gingerdyke::control
 {
-/// \brief What one VM sees that others can use.
+/// \brief State of one VM that other VMs can use.
 struct peer_report
 {
-	/// Name and incarnation of the VM that reports.
+	/// Name and incarnation of the reporting VM.
 	std::string reporter;
 
-	/// Work that it has open at replicas.
+	/// Work that the VM has in progress on replicas.
 	std::vector<routing::replica_work> work;
 
-	/// What it saw of new versions under way.
+	/// Its evidence on new versions whose shift is in progress.
 	std::vector<rollout::shift_evidence> evidence;
 
-	/// New versions that it found bad. The VM that it reads from may have started after the verdict, and
-	/// would declare such a version completed.
+	/// New versions that the VM has judged bad. The VM that receives the report may have started after that
+	/// verdict, and would otherwise declare the version completed.
 	std::vector<rollout::shift_suspension> suspended;
 
-	/// Requests under which replicas ended lately. Each VM may have seen one end only, and all of them too
-	/// many.
+	/// Requests during which replicas recently terminated. A single VM may have seen only one termination,
+	/// while all VMs together have seen too many.
 	std::vector<quarantine::suspicion> suspects;
 
-	/// What it heard itself of limits that replicas name.
+	/// Rate limits that replicas announced to this VM.
 	std::vector<routing::limit_news> limits;
 };
 
-/// \brief What a VM knows of all the others that report to it.
+/// \brief State collected by the polled VM from all VMs that report to it.
 struct peer_summary
 {
-	/// Work that VMs other than the one that is told have open at replicas.
+	/// Work in progress on replicas, summed over all VMs but the one that receives the summary.
 	std::vector<routing::replica_work> work;
 
-	/// New versions that it found bad.
+	/// New versions that the polled VM has judged bad.
 	std::vector<rollout::shift_suspension> suspended;
 
-	/// Requests under which several replicas ended lately.
+	/// Requests during which several replicas recently terminated.
 	std::vector<quarantine::suspicion> suspects;
 
-	/// What it and the VMs that report to it, other than the one that is told, heard of limits that replicas
-	/// name.
+	/// Rate limits announced by replicas to the polled VM and to the VMs that report to it, except the one
+	/// that receives the summary.
 	std::vector<routing::limit_news> limits;
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/relay_client.hpp
+++ b/include/gingerdyke/control/relay_client.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Reads another VM's copy of the registry.
+// Client that reads another VM's copy of the registry.
 #pragma once
 
 #include <gingerdyke/control/frame_link.hpp>
@@ -8,27 +8,27 @@
 
 namespace gingerdyke::control
 {
-/// \brief Calls to one other VM, over one connection.
+/// \brief Sends polls to one other VM over a single connection.
 class relay_client : public std::enable_shared_from_this<relay_client>
 {
   public:
 	using done_hook = std::function<void(store_result<row_batch>)>;
 	using summary_hook = std::function<void(const peer_summary&)>;
 
-	/// \param summarised Told what the other VM knows, where a call came with a report.
-	relay_client(proxy::asio::io_context& context, peer to, summary_hook summarised);
+	/// \param on_summary Called with the summary of each response that carries one.
+	relay_client(proxy::asio::io_context& context, peer to, summary_hook on_summary);
 
-	/// \brief Makes a call.
-	/// \param limit Time after which it counts as unreachable.
+	/// \brief Sends a poll.
+	/// \param limit Time after which the call fails as unreachable.
 	void call(relay_poll poll, duration limit, done_hook done);
 
-	/// \brief Ends the connection; all calls under way end as unreachable.
+	/// \brief Closes the connection; all pending calls fail as unreachable.
 	void abandon();
 
 	[[nodiscard]] const peer& to() const noexcept { return to_; }
 
   private:
-	struct open_call
+	struct pending_call
 	{
 		std::string table;
 		done_hook done;
@@ -36,16 +36,16 @@
 	};
 
 	void connect();
-	void limit_connecting();
+	void start_connect_timeout();
 	void on_frame(std::string_view frame);
-	void end_call(std::int64_t number, store_result<row_batch> result);
+	void end_call(std::int64_t call_id, store_result<row_batch> result);
 
 	proxy::asio::io_context& context_;
 	peer to_;
-	summary_hook summarised_;
-	std::shared_ptr<frame_link> link_;
+	summary_hook on_summary_;
+	std::shared_ptr<frame_link> connection_;
 	proxy::boot_timer connect_timer_;
-	std::map<std::int64_t, open_call> calls_;
-	std::int64_t next_call_ = 1;
+	std::map<std::int64_t, pending_call> pending_calls_;
+	std::int64_t next_call_id_ = 1;
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/relay_codec.hpp
+++ b/include/gingerdyke/control/relay_codec.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Frames with which VMs read the registry through each other: four bytes of length, then a Thrift struct.
+// Wire format with which VMs read the registry through each other: a four-byte length, then a Thrift struct.
 #pragma once
 
 #include <gingerdyke/control/peer_report.hpp>
@@ -10,61 +10,62 @@
 
 namespace gingerdyke::control
 {
-/// \brief A call to another VM: a table, or what changed of it.
+/// \brief A long poll of another VM for a full table or for its changes.
 struct relay_poll
 {
-	/// Number by which the answer is matched.
+	/// Identifies the call; the response repeats it.
 	std::int64_t call{};
 	std::string table;
 
-	/// Version to continue from; none: the whole table.
+	/// Version to continue from; none for the full table.
 	std::optional<row_version> after;
 
-	/// How long to wait where there is no news.
+	/// How long to wait if there are no changes.
 	duration wait{};
 
-	/// A copy that is older than this is of no use to the VM that calls: it is answered at once. None: any
-	/// is.
-	std::optional<duration> oldest;
+	/// Maximum age of a usable copy; a poll that waits is answered as soon as the copy exceeds it. None if
+	/// any age is acceptable.
+	std::optional<duration> max_age;
 
-	/// What the VM that calls has to tell; none where another call of it tells.
+	/// Report of the calling VM; none if another of its calls carries it.
 	std::optional<peer_report> report;
 };
 
-/// \brief The answer to a call.
+/// \brief The response to a poll.
 struct relay_answer
 {
 	std::int64_t call{};
 	store_result<row_batch> result{row_batch{}};
 
-	/// The rows as `pack_rows` made them, in place of those in the result; null: they are there.
+	/// The rows as packed by `pack_rows`, in place of those in `result`; null if the rows are in `result`.
 	std::shared_ptr<const std::string> packed;
 
-	/// The VM that answers reads the registry through another one itself.
+	/// Whether the responding VM itself reads the registry through another VM.
 	bool is_relayed{};
 
-	/// There where the call came with a report.
+	/// Present if the poll carried a report.
 	std::optional<peer_summary> summary;
 };
 
-/// Largest frame, in bytes: a whole table of the size to design for (1,600 replicas) takes half a megabyte.
+/// Maximum frame size, in bytes. A full table of the designed size (1,600 replicas) takes half a megabyte.
 inline constexpr std::size_t largest_relay_frame = 8U << 20U;
 
-/// Bytes of the length before each frame.
+/// Size of the length prefix of a frame, in bytes.
 inline constexpr std::size_t relay_length_bytes = 4;
 
-/// \brief Writes a frame with its length.
+/// \brief Encodes a frame, including its length prefix.
 [[nodiscard]] std::string write_frame(const relay_poll& poll);
 
 /// \copydoc write_frame
 [[nodiscard]] std::string write_frame(const relay_answer& answer);
 
-/// \brief Length that a frame's first bytes state; none where it is over the largest.
+/// \brief Returns the frame length encoded in the first bytes; none if it exceeds the maximum.
 [[nodiscard]] std::optional<std::size_t> frame_length(std::string_view first_bytes);
 
-/// \brief Reads a frame without its length; none where it is not one.
+/// \brief Decodes a poll from a frame without its length prefix; none if malformed.
 [[nodiscard]] std::optional<relay_poll> read_poll(std::string_view frame);
 
-/// \brief Reads a frame without its length; none where it is not one. Its rows name no table: the call did.
+/// \brief Decodes a response from a frame without its length prefix; none if malformed. Its rows carry no
+/// table name, as it is known from the poll.
 [[nodiscard]] std::optional<relay_answer> read_answer(std::string_view frame);
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/relay_server.hpp
+++ b/include/gingerdyke/control/relay_server.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Answers other VMs from this VM's copies of the registry's tables.
+// Server that answers other VMs' polls from this VM's copies of registry tables.
 #pragma once
 
 #include <gingerdyke/control/frame_link.hpp>
@@ -9,33 +9,34 @@
 
 namespace gingerdyke::control
 {
-/// \brief What a `relay_server` asks of its owner.
+/// \brief Callbacks of `relay_server`.
 struct relay_server_hooks
 {
-	/// Finds the copy of a table, or null.
+	/// Returns the copy of a table, or null if the table is not followed.
 	std::function<const table_cache*(const std::string& table)> find;
 
-	/// Whether this VM reads a table from the registry itself.
+	/// Returns whether this VM reads a table from the registry itself.
 	std::function<bool(const std::string& table)> reads_registry;
 
-	/// Takes a VM's report.
+	/// Called with each report received.
 	std::function<void(const peer_report&)> reported;
 
-	/// What a VM that reported is told.
+	/// Returns the summary for a VM that reported.
 	std::function<peer_summary(const std::string& reporter)> summarise;
 };
 
-/// \brief Answers polls; those without news wait until there is some or their time is over.
+/// \brief Answers polls. A poll for which there are no changes is held until there are some, its wait
+/// expires, or the copy grows too old for it.
 class relay_server
 {
   public:
 	relay_server(proxy::asio::io_context& context, relay_server_hooks hooks);
 
-	/// \brief Begins to listen.
-	/// \returns What stands against it; none where it listens.
+	/// \brief Starts to listen.
+	/// \returns The error that prevents it; none on success.
 	[[nodiscard]] proxy::error_code listen(const routing::address& at);
 
-	/// \brief Tells that a table changed: polls that wait for it are answered.
+	/// \brief Answers the polls held for a table that changed.
 	void on_change(const std::string& table);
 
 	void stop();
@@ -48,7 +49,8 @@
 		instant until;
 	};
 
-	/// Whole tables as they were last packed. All VMs of a failure domain ask at once after a loss of all.
+	/// A full table in packed form, kept because all VMs of a failure domain request it at once after a
+	/// restart of all VMs.
 	struct packed_table
 	{
 		row_version newest;
@@ -58,19 +60,19 @@
 	void accept();
 	void on_frame(const std::shared_ptr<frame_link>& from, std::string_view frame);
 	[[nodiscard]] bool has_answer(const relay_poll& poll) const;
-	[[nodiscard]] duration useless_in(const relay_poll& poll) const;
-	[[nodiscard]] instant due_at(const waiting_poll& one) const;
+	[[nodiscard]] duration time_until_too_old(const relay_poll& poll) const;
+	[[nodiscard]] instant next_check_at(const waiting_poll& one) const;
 	void answer(const waiting_poll& to);
 	void add_rows(const table_cache& from, const relay_poll& poll, relay_answer& to);
 	void arm_timer();
-	void answer_overdue();
+	void answer_due_polls();
 
 	proxy::asio::io_context& context_;
 	relay_server_hooks hooks_;
 	proxy::tcp::acceptor acceptor_;
 	proxy::boot_timer timer_;
-	std::list<waiting_poll> waiting_;
-	std::map<std::string, packed_table> packed_;
-	std::list<std::shared_ptr<frame_link>> links_;
+	std::list<waiting_poll> waiting_polls_;
+	std::map<std::string, packed_table> packed_tables_;
+	std::list<std::shared_ptr<frame_link>> connections_;
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/report_board.hpp
+++ b/include/gingerdyke/control/report_board.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The open work of the VMs that report to this one. A VM's own open requests say little of a replica's load
-// where many VMs send to it; together they do.
+// Aggregates the reports of other VMs. If many VMs send to a replica, each VM's own requests in progress say
+// little about the replica's load; their sum does.
 #pragma once
 
 #include <gingerdyke/control/peer_report.hpp>
@@ -11,30 +11,32 @@
 /// \brief Tuning of `report_board`.
 struct report_board_tuning
 {
-	/// A report counts for this long. VMs report with their polls, several times a second; work that is older
-	/// is mostly done.
+	/// Time for which a report counts. VMs report with their polls, several times a second; older work has
+	/// mostly completed.
 	duration lifetime = std::chrono::milliseconds{1500};
 };
 
-/// \brief Keeps the last report of each VM and sums them up.
+/// \brief Keeps the latest report of each VM and aggregates them.
 class report_board
 {
   public:
 	explicit report_board(report_board_tuning tuning = {}) : tuning_(tuning) {}
 
-	/// \brief Takes a VM's report in place of its last one.
-	void take(const std::string& reporter, std::vector<routing::replica_work> work, instant now);
+	/// \brief Replaces the work that a VM reported before.
+	void set_work(const std::string& reporter, std::vector<routing::replica_work> work, instant now);
 
-	/// \brief Takes what a VM heard of replicas' limits in place of what it told last.
-	void take_limits(const std::string& reporter, std::vector<routing::limit_news> limits, instant now);
+	/// \brief Replaces the rate limits that a VM reported before.
+	void set_limits(const std::string& reporter, std::vector<routing::limit_news> limits, instant now);
 
-	/// \brief Sums up the open work of all VMs with a report that still counts, but one.
-	/// \param reporter The VM that is left out; it knows its own work better.
-	[[nodiscard]] std::vector<routing::replica_work> work_of_others(const std::string& reporter, instant now);
+	/// \brief Returns the work in progress on each replica, summed over all VMs with an unexpired report but
+	/// one.
+	/// \param reporter The VM to leave out; it knows its own work better.
+	[[nodiscard]] std::vector<routing::replica_work> work_excluding(const std::string& reporter, instant now);
 
-	/// \brief What all VMs with a report that still counts, but one, heard of replicas' limits, as old as it
-	/// is now.
-	[[nodiscard]] std::vector<routing::limit_news> limits_of_others(const std::string& reporter, instant now);
+	/// \brief Returns the rate limits reported by all VMs with an unexpired report but one, their ages
+	/// advanced to `now`.
+	/// \param reporter The VM to leave out.
+	[[nodiscard]] std::vector<routing::limit_news> limits_excluding(const std::string& reporter, instant now);
 
   private:
 	struct kept_limits
@@ -50,7 +52,7 @@
 	};
 
 	report_board_tuning tuning_;
-	std::map<std::string, kept_report> by_reporter_;
+	std::map<std::string, kept_report> work_by_reporter_;
 	std::map<std::string, kept_limits> limits_by_reporter_;
 };
 } // namespace gingerdyke::control
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -77,16 +77,16 @@
 void coordinator::on_report(const peer_report& report)
 {
 	const auto now = proxy::steady_now();
-	board_.take(report.reporter, report.work, now);
-	note_work_of_others(board_.work_of_others(reporter_, now));
+	reports_.set_work(report.reporter, report.work, now);
+	note_work_of_others(reports_.work_excluding(reporter_, now));
 	for (const auto& one : report.evidence)
 	{
 		gateway_.versions().on_relayed_evidence(report.reporter, one, now);
 	}
 	take_suspensions(report.suspended);
 	take_suspects(report.suspects);
-	board_.take_limits(report.reporter, report.limits, now);
-	take_limits(report.limits);
+	reports_.set_limits(report.reporter, report.limits, now);
+	apply_limits(report.limits);
 	if (!report.evidence.empty())
 	{
 		arm();
@@ -96,12 +96,12 @@
 peer_summary coordinator::summary_for(const std::string& reporter)
 {
 	const auto now = proxy::steady_now();
-	board_.take(reporter_, gateway_.selector().open_work(), now);
-	board_.take_limits(reporter_, gateway_.announced().own_news(now), now);
+	reports_.set_work(reporter_, gateway_.selector().open_work(), now);
+	reports_.set_limits(reporter_, gateway_.announced().own_news(now), now);
 	// What stood beside one end only is for the VMs that sum up.
 	constexpr std::size_t least_ended = 2;
-	return {board_.work_of_others(reporter, now), gateway_.versions().suspensions(),
-		gateway_.suspects().news(least_ended, now), board_.limits_of_others(reporter, now)};
+	return {reports_.work_excluding(reporter, now), gateway_.versions().suspensions(),
+		gateway_.suspects().news(least_ended, now), reports_.limits_excluding(reporter, now)};
 }
 
 void coordinator::on_summary(const peer_summary& summary)
@@ -109,10 +109,10 @@
 	note_work_of_others(summary.work);
 	take_suspensions(summary.suspended);
 	take_suspects(summary.suspects);
-	take_limits(summary.limits);
+	apply_limits(summary.limits);
 }
 
-void coordinator::take_limits(const std::vector<routing::limit_news>& limits)
+void coordinator::apply_limits(const std::vector<routing::limit_news>& limits)
 {
 	const auto now = proxy::steady_now();
 	for (const auto& heard : limits)
--- a/src/control/frame_link.cpp
+++ b/src/control/frame_link.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-// One connection between two VMs.
+// Connection between two VMs that carries frames in both directions.
 #include <gingerdyke/control/frame_link.hpp>
 
 namespace gingerdyke::control
 {
 namespace
 {
-/// Bytes asked for by one read; most frames have a few hundred.
+/// Buffer size of one read, in bytes; most frames have a few hundred.
 constexpr std::size_t read_size = 4096;
 } // namespace
 
@@ -17,7 +17,7 @@
 
 void frame_link::start()
 {
-	up_ = true;
+	connected_ = true;
 	proxy::set_connection_options(socket_);
 	read();
 	write();
@@ -34,7 +34,7 @@
 			}
 			if (error)
 			{
-				self->end();
+				self->fail();
 				return;
 			}
 			self->start();
@@ -43,7 +43,7 @@
 
 void frame_link::send(const std::string& frame)
 {
-	pending_ += frame;
+	queued_bytes_ += frame;
 	write();
 }
 
@@ -69,7 +69,7 @@
 	}
 	if (error)
 	{
-		end();
+		fail();
 		return;
 	}
 	buffer_.commit(size);
@@ -79,14 +79,14 @@
 		const auto length = frame_length(bytes);
 		if (!length)
 		{
-			end();
+			fail();
 			return;
 		}
 		if (bytes.size() < relay_length_bytes + *length)
 		{
 			break;
 		}
-		hooks_.received(bytes.substr(relay_length_bytes, *length));
+		hooks_.frame_received(bytes.substr(relay_length_bytes, *length));
 		buffer_.consume(relay_length_bytes + *length);
 	}
 	if (!closed_)
@@ -97,16 +97,16 @@
 
 void frame_link::write()
 {
-	if (!up_ || closed_ || !writing_.empty() || pending_.empty())
+	if (!connected_ || closed_ || !bytes_in_flight_.empty() || queued_bytes_.empty())
 	{
 		return;
 	}
-	writing_ = std::exchange(pending_, {});
-	proxy::asio::async_write(socket_, proxy::asio::buffer(writing_),
+	bytes_in_flight_ = std::exchange(queued_bytes_, {});
+	proxy::asio::async_write(socket_, proxy::asio::buffer(bytes_in_flight_),
 		[self = shared_from_this()](const proxy::error_code& error, std::size_t)
 		{
-			// A failed write shows in the read as well.
-			self->writing_.clear();
+			// A write error also fails the pending read, which reports it.
+			self->bytes_in_flight_.clear();
 			if (!error)
 			{
 				self->write();
@@ -114,13 +114,13 @@
 		});
 }
 
-void frame_link::end()
+void frame_link::fail()
 {
 	if (closed_)
 	{
 		return;
 	}
 	close();
-	hooks_.ended();
+	hooks_.closed();
 }
 } // namespace gingerdyke::control
--- a/src/control/relay_codec.cpp
+++ b/src/control/relay_codec.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Frames with which VMs read the registry through each other.
+// Wire format with which VMs read the registry through each other.
 #include "report_message.hpp"
 
 #include <algorithm>
@@ -15,19 +15,19 @@
 using apache::thrift::protocol::TCompactProtocol;
 using apache::thrift::transport::TMemoryBuffer;
 
-constexpr std::int32_t outcome_rows = 0;
+constexpr std::int32_t outcome_success = 0;
 
-/// The number that stands for an error on the wire.
-std::int32_t outcome_of(store_error error)
+/// Encodes an error as an outcome number.
+std::int32_t outcome_number(store_error error)
 {
 	return static_cast<std::int32_t>(error) + 1;
 }
 
-store_error error_of(std::int32_t outcome)
+store_error outcome_error(std::int32_t outcome)
 {
 	for (const auto error : {store_error::unreachable, store_error::unavailable, store_error::history_gone})
 	{
-		if (outcome == outcome_of(error))
+		if (outcome == outcome_number(error))
 		{
 			return error;
 		}
@@ -36,7 +36,7 @@
 }
 
 template <typename Message>
-std::string frame_of(const Message& message)
+std::string encode_frame(const Message& message)
 {
 	const auto buffer = std::make_shared<TMemoryBuffer>();
 	TCompactProtocol protocol{buffer};
@@ -54,7 +54,7 @@
 }
 
 template <typename Message>
-std::optional<Message> message_of(std::string_view frame)
+std::optional<Message> decode_message(std::string_view frame)
 {
 	try
 	{
@@ -82,15 +82,15 @@
 	message.whole = !poll.after.has_value();
 	message.after = poll.after.value_or(row_version{0}).value();
 	message.wait_us = poll.wait.count();
-	if (poll.oldest)
+	if (poll.max_age)
 	{
-		message.__set_oldest_us(poll.oldest->count());
+		message.__set_oldest_us(poll.max_age->count());
 	}
 	if (poll.report)
 	{
-		message.__set_report(written(*poll.report));
+		message.__set_report(to_wire(*poll.report));
 	}
-	return frame_of(message);
+	return encode_frame(message);
 }
 
 std::string write_frame(const relay_answer& answer)
@@ -103,22 +103,22 @@
 	}
 	if (answer.summary)
 	{
-		message.__set_summary(written(*answer.summary));
+		message.__set_summary(to_wire(*answer.summary));
 	}
 	if (!answer.result)
 	{
-		message.outcome = outcome_of(answer.result.error());
-		return frame_of(message);
+		message.outcome = outcome_number(answer.result.error());
+		return encode_frame(message);
 	}
 	const auto& batch = *answer.result;
-	message.outcome = outcome_rows;
+	message.outcome = outcome_success;
 	for (const auto& one : batch.rows)
 	{
-		auto& written = message.rows.emplace_back();
-		written.key = one.key;
-		written.value = one.value;
-		written.version = one.version.value();
-		written.removed = one.removed;
+		auto& wire_row = message.rows.emplace_back();
+		wire_row.key = one.key;
+		wire_row.value = one.value;
+		wire_row.version = one.version.value();
+		wire_row.removed = one.removed;
 	}
 	if (answer.packed)
 	{
@@ -127,7 +127,7 @@
 	message.newest = batch.newest.value();
 	message.registry_time_us = batch.at.count();
 	message.age_us = batch.age.count();
-	return frame_of(message);
+	return encode_frame(message);
 }
 
 std::optional<std::size_t> frame_length(std::string_view first_bytes)
@@ -143,7 +143,7 @@
 
 std::optional<relay_poll> read_poll(std::string_view frame)
 {
-	const auto message = message_of<wire::RelayPoll>(frame);
+	const auto message = decode_message<wire::RelayPoll>(frame);
 	if (!message)
 	{
 		return std::nullopt;
@@ -158,18 +158,18 @@
 	poll.wait = duration{message->wait_us};
 	if (message->__isset.oldest_us)
 	{
-		poll.oldest = duration{message->oldest_us};
+		poll.max_age = duration{message->oldest_us};
 	}
 	if (message->__isset.report)
 	{
-		poll.report = read(message->report);
+		poll.report = from_wire(message->report);
 	}
 	return poll;
 }
 
 std::optional<relay_answer> read_answer(std::string_view frame)
 {
-	const auto message = message_of<wire::RelayAnswer>(frame);
+	const auto message = decode_message<wire::RelayAnswer>(frame);
 	if (!message)
 	{
 		return std::nullopt;
@@ -179,11 +179,11 @@
 	answer.is_relayed = message->__isset.second_hand && message->second_hand;
 	if (message->__isset.summary)
 	{
-		answer.summary = read(message->summary);
+		answer.summary = from_wire(message->summary);
 	}
-	if (message->outcome != outcome_rows)
+	if (message->outcome != outcome_success)
 	{
-		answer.result = tl::make_unexpected(error_of(message->outcome));
+		answer.result = tl::make_unexpected(outcome_error(message->outcome));
 		return answer;
 	}
 	row_batch batch;
--- a/src/control/relay_server.cpp
+++ b/src/control/relay_server.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Answers other VMs from this VM's copies.
+// Server that answers other VMs' polls from this VM's copies of registry tables.
 #include <algorithm>
 #include <gingerdyke/control/relay_server.hpp>
 #include <gingerdyke/control/row_packing.hpp>
@@ -11,8 +11,8 @@
 {
 constexpr int backlog = 256;
 
-/// Longest wait that a poll may ask for.
-constexpr duration longest_wait = std::chrono::seconds{10};
+/// Maximum wait that a poll may request.
+constexpr duration max_wait = std::chrono::seconds{10};
 } // namespace
 
 relay_server::relay_server(proxy::asio::io_context& context, relay_server_hooks hooks)
@@ -45,12 +45,12 @@
 				accept();
 				return;
 			}
-			const auto place = links_.insert(links_.end(), nullptr);
+			const auto slot = connections_.insert(connections_.end(), nullptr);
 			frame_link_hooks hooks;
-			hooks.received = [this, place](std::string_view frame) { on_frame(*place, frame); };
-			hooks.ended = [this, place] { links_.erase(place); };
-			*place = std::make_shared<frame_link>(std::move(socket), std::move(hooks));
-			(*place)->start();
+			hooks.frame_received = [this, slot](std::string_view frame) { on_frame(*slot, frame); };
+			hooks.closed = [this, slot] { connections_.erase(slot); };
+			*slot = std::make_shared<frame_link>(std::move(socket), std::move(hooks));
+			(*slot)->start();
 			accept();
 		});
 }
@@ -60,20 +60,20 @@
 	const auto poll = read_poll(frame);
 	if (!poll)
 	{
-		log::write(log::level::warn, "relay: frame not understood", {{"bytes", frame.size()}});
+		log::write(log::level::warn, "relay: malformed poll", {{"bytes", frame.size()}});
 		return;
 	}
 	if (poll->report)
 	{
 		hooks_.reported(*poll->report);
 	}
-	waiting_poll one{*poll, from, proxy::steady_now() + std::clamp(poll->wait, duration{0}, longest_wait)};
-	if (has_answer(*poll) || one.poll.wait <= duration{0})
+	waiting_poll waiting{*poll, from, proxy::steady_now() + std::clamp(poll->wait, duration{0}, max_wait)};
+	if (has_answer(*poll) || waiting.poll.wait <= duration{0})
 	{
-		answer(one);
+		answer(waiting);
 		return;
 	}
-	waiting_.push_back(std::move(one));
+	waiting_polls_.push_back(std::move(waiting));
 	arm_timer();
 }
 
@@ -84,54 +84,54 @@
 	{
 		return false;
 	}
-	return useless_in(poll) < duration{0} || !poll.after || cache->has_changes_after(*poll.after);
+	return time_until_too_old(poll) < duration{0} || !poll.after || cache->has_changes_after(*poll.after);
 }
 
-/// Until this VM's copy is too old for the asker, unless it is confirmed meanwhile.
-duration relay_server::useless_in(const relay_poll& poll) const
+/// Returns how long until this VM's copy exceeds the poll's maximum age, unless it is confirmed before then.
+duration relay_server::time_until_too_old(const relay_poll& poll) const
 {
 	const auto* cache = hooks_.find(poll.table);
-	if (cache == nullptr || !cache->is_loaded() || !poll.oldest)
+	if (cache == nullptr || !cache->is_loaded() || !poll.max_age)
 	{
 		return duration::max();
 	}
-	return *poll.oldest - cache->age(proxy::steady_now());
+	return *poll.max_age - cache->age(proxy::steady_now());
 }
 
-/// When a poll is to be looked at next. What waits while the copy grows too old would cost the asker the time
-/// in which it could ask another source.
-instant relay_server::due_at(const waiting_poll& one) const
+/// Returns when a held poll has to be checked next. If the copy grows too old during the wait, the poll is
+/// answered at that time, so that the caller can ask another source.
+instant relay_server::next_check_at(const waiting_poll& waiting) const
 {
 	constexpr duration just_after = std::chrono::milliseconds{1};
 	const auto now = proxy::steady_now();
-	const auto useless = useless_in(one.poll);
-	return useless < one.until - now ? now + useless + just_after : one.until;
+	const auto too_old_in = time_until_too_old(waiting.poll);
+	return too_old_in < waiting.until - now ? now + too_old_in + just_after : waiting.until;
 }
 
 void relay_server::answer(const waiting_poll& to)
 {
-	const auto link = to.from.lock();
-	if (!link)
+	const auto connection = to.from.lock();
+	if (!connection)
 	{
 		return;
 	}
 	const auto* cache = hooks_.find(to.poll.table);
-	relay_answer made;
-	made.call = to.poll.call;
-	made.is_relayed = !hooks_.reads_registry(to.poll.table);
+	relay_answer response;
+	response.call = to.poll.call;
+	response.is_relayed = !hooks_.reads_registry(to.poll.table);
 	if (cache == nullptr)
 	{
-		made.result = tl::make_unexpected(store_error::unavailable);
+		response.result = tl::make_unexpected(store_error::unavailable);
 	}
 	else
 	{
-		add_rows(*cache, to.poll, made);
+		add_rows(*cache, to.poll, response);
 	}
 	if (to.poll.report)
 	{
-		made.summary = hooks_.summarise(to.poll.report->reporter);
+		response.summary = hooks_.summarise(to.poll.report->reporter);
 	}
-	link->send(write_frame(made));
+	connection->send(write_frame(response));
 }
 
 void relay_server::add_rows(const table_cache& from, const relay_poll& poll, relay_answer& to)
@@ -142,27 +142,27 @@
 	{
 		return;
 	}
-	auto& known = packed_[poll.table];
-	if (!known.bytes || known.newest != to.result->newest)
+	auto& cached = packed_tables_[poll.table];
+	if (!cached.bytes || cached.newest != to.result->newest)
 	{
 		const auto whole = from.read(std::nullopt, now);
-		known = {whole->newest, std::make_shared<const std::string>(pack_rows(whole->rows))};
+		cached = {whole->newest, std::make_shared<const std::string>(pack_rows(whole->rows))};
 	}
-	to.packed = known.bytes;
+	to.packed = cached.bytes;
 }
 
 void relay_server::on_change(const std::string& table)
 {
-	for (auto one = waiting_.begin(); one != waiting_.end();)
+	for (auto waiting = waiting_polls_.begin(); waiting != waiting_polls_.end();)
 	{
-		if (one->poll.table == table && has_answer(one->poll))
+		if (waiting->poll.table == table && has_answer(waiting->poll))
 		{
-			answer(*one);
-			one = waiting_.erase(one);
+			answer(*waiting);
+			waiting = waiting_polls_.erase(waiting);
 		}
 		else
 		{
-			++one;
+			++waiting;
 		}
 	}
 }
@@ -170,9 +170,9 @@
 void relay_server::arm_timer()
 {
 	std::optional<instant> next;
-	for (const auto& one : waiting_)
+	for (const auto& waiting : waiting_polls_)
 	{
-		const auto due = due_at(one);
+		const auto due = next_check_at(waiting);
 		next = std::min(next.value_or(due), due);
 	}
 	if (!next)
@@ -185,24 +185,24 @@
 		{
 			if (!error)
 			{
-				answer_overdue();
+				answer_due_polls();
 			}
 		});
 }
 
-void relay_server::answer_overdue()
+void relay_server::answer_due_polls()
 {
 	const auto now = proxy::steady_now();
-	for (auto one = waiting_.begin(); one != waiting_.end();)
+	for (auto waiting = waiting_polls_.begin(); waiting != waiting_polls_.end();)
 	{
-		if (one->until <= now || has_answer(one->poll))
+		if (waiting->until <= now || has_answer(waiting->poll))
 		{
-			answer(*one);
-			one = waiting_.erase(one);
+			answer(*waiting);
+			waiting = waiting_polls_.erase(waiting);
 		}
 		else
 		{
-			++one;
+			++waiting;
 		}
 	}
 	arm_timer();
@@ -213,10 +213,10 @@
 	proxy::error_code ignored;
 	acceptor_.close(ignored);
 	timer_.cancel();
-	for (const auto& one : links_)
+	for (const auto& connection : connections_)
 	{
-		one->close();
+		connection->close();
 	}
-	links_.clear();
+	connections_.clear();
 }
 } // namespace gingerdyke::control
--- a/src/control/report_board.cpp
+++ b/src/control/report_board.cpp
@@ -1,19 +1,20 @@
 // SPDX-License-Identifier: MIT
-// The open work of the VMs that report to this one.
+// Aggregates the reports of other VMs.
 #include <gingerdyke/control/report_board.hpp>
 
 namespace gingerdyke::control
 {
-void report_board::take(const std::string& reporter, std::vector<routing::replica_work> work, instant now)
+void report_board::set_work(const std::string& reporter, std::vector<routing::replica_work> work, instant now)
 {
-	by_reporter_[reporter] = {std::move(work), now};
+	work_by_reporter_[reporter] = {std::move(work), now};
 }
 
-std::vector<routing::replica_work> report_board::work_of_others(const std::string& reporter, instant now)
+std::vector<routing::replica_work> report_board::work_excluding(const std::string& reporter, instant now)
 {
-	std::erase_if(by_reporter_, [&](const auto& entry) { return now - entry.second.at > tuning_.lifetime; });
+	std::erase_if(
+		work_by_reporter_, [&](const auto& entry) { return now - entry.second.at > tuning_.lifetime; });
 	std::map<replica_id, double> sums;
-	for (const auto& [name, report] : by_reporter_)
+	for (const auto& [name, report] : work_by_reporter_)
 	{
 		if (name == reporter)
 		{
@@ -33,7 +34,7 @@
 	return all;
 }
 
-void report_board::take_limits(
+void report_board::set_limits(
 	const std::string& reporter, std::vector<routing::limit_news> limits, instant now)
 {
 	if (limits.empty())
@@ -44,7 +45,7 @@
 	limits_by_reporter_[reporter] = {std::move(limits), now};
 }
 
-std::vector<routing::limit_news> report_board::limits_of_others(const std::string& reporter, instant now)
+std::vector<routing::limit_news> report_board::limits_excluding(const std::string& reporter, instant now)
 {
 	std::erase_if(
 		limits_by_reporter_, [&](const auto& entry) { return now - entry.second.at > tuning_.lifetime; });
@@ -55,10 +56,10 @@
 		{
 			continue;
 		}
-		for (auto heard : kept.limits)
+		for (auto reported : kept.limits)
 		{
-			heard.age += now - kept.at;
-			all.push_back(std::move(heard));
+			reported.age += now - kept.at;
+			all.push_back(std::move(reported));
 		}
 	}
 	return all;
--- a/src/control/report_message.cpp
+++ b/src/control/report_message.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Reports between VMs as the messages that carry them.
+// Conversion between peer reports and their Thrift messages.
 #include "report_message.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 {
 namespace
 {
-std::vector<wire::RelayWork> written(const std::vector<routing::replica_work>& work)
+std::vector<wire::RelayWork> to_wire(const std::vector<routing::replica_work>& work)
 {
 	std::vector<wire::RelayWork> all;
 	all.reserve(work.size());
@@ -22,7 +22,7 @@
 	return all;
 }
 
-std::vector<routing::replica_work> read(const std::vector<wire::RelayWork>& work)
+std::vector<routing::replica_work> from_wire(const std::vector<wire::RelayWork>& work)
 {
 	std::vector<routing::replica_work> all;
 	all.reserve(work.size());
@@ -33,7 +33,7 @@
 	return all;
 }
 
-wire::RelayCounts written(const rollout::answer_counts& counts)
+wire::RelayCounts to_wire(const rollout::answer_counts& counts)
 {
 	wire::RelayCounts message;
 	message.answers = static_cast<std::int64_t>(counts.answers);
@@ -41,12 +41,12 @@
 	return message;
 }
 
-rollout::answer_counts read(const wire::RelayCounts& message)
+rollout::answer_counts from_wire(const wire::RelayCounts& message)
 {
 	return {static_cast<std::uint64_t>(message.answers), static_cast<std::uint64_t>(message.failed)};
 }
 
-std::vector<wire::RelayCellCounts> written(const rollout::by_cell<rollout::answer_counts>& seen)
+std::vector<wire::RelayCellCounts> to_wire(const rollout::by_cell<rollout::answer_counts>& seen)
 {
 	std::vector<wire::RelayCellCounts> all;
 	for (const auto& [cell, counts] : seen)
@@ -59,7 +59,7 @@
 	return all;
 }
 
-rollout::by_cell<rollout::answer_counts> read(const std::vector<wire::RelayCellCounts>& cells)
+rollout::by_cell<rollout::answer_counts> from_wire(const std::vector<wire::RelayCellCounts>& cells)
 {
 	rollout::by_cell<rollout::answer_counts> seen;
 	for (const auto& one : cells)
@@ -70,22 +70,22 @@
 	return seen;
 }
 
-wire::RelayRouteEvidence written(const std::string& route, const rollout::route_evidence& seen)
+wire::RelayRouteEvidence to_wire(const std::string& route, const rollout::route_evidence& seen)
 {
 	wire::RelayRouteEvidence message;
 	message.route = route;
-	message.before = written(seen.before);
-	message.old_version = written(seen.old_version);
-	message.new_version = written(seen.new_version);
+	message.before = to_wire(seen.before);
+	message.old_version = to_wire(seen.old_version);
+	message.new_version = to_wire(seen.new_version);
 	return message;
 }
 
-rollout::route_evidence read(const wire::RelayRouteEvidence& message)
+rollout::route_evidence from_wire(const wire::RelayRouteEvidence& message)
 {
-	return {read(message.before), read(message.old_version), read(message.new_version)};
+	return {from_wire(message.before), from_wire(message.old_version), from_wire(message.new_version)};
 }
 
-std::vector<std::int32_t> written(const rollout::answer_times& times)
+std::vector<std::int32_t> to_wire(const rollout::answer_times& times)
 {
 	std::vector<std::int32_t> counts{times.counts().begin(), times.counts().end()};
 	while (!counts.empty() && counts.back() == 0)
@@ -95,7 +95,7 @@
 	return counts;
 }
 
-rollout::answer_times read(const std::vector<std::int32_t>& counts)
+rollout::answer_times from_wire(const std::vector<std::int32_t>& counts)
 {
 	rollout::answer_times times;
 	for (std::size_t level = 0; level < counts.size(); ++level)
@@ -105,82 +105,83 @@
 	return times;
 }
 
-std::vector<wire::RelayCellTimes> written(const rollout::by_cell<rollout::answer_times>& seen)
+std::vector<wire::RelayCellTimes> to_wire(const rollout::by_cell<rollout::answer_times>& seen)
 {
 	std::vector<wire::RelayCellTimes> all;
 	for (const auto& [cell, times] : seen)
 	{
 		auto& added = all.emplace_back();
 		added.cell = static_cast<std::int32_t>(cell);
-		added.levels = written(times);
+		added.levels = to_wire(times);
 	}
 	return all;
 }
 
-rollout::by_cell<rollout::answer_times> read(const std::vector<wire::RelayCellTimes>& cells)
+rollout::by_cell<rollout::answer_times> from_wire(const std::vector<wire::RelayCellTimes>& cells)
 {
 	rollout::by_cell<rollout::answer_times> seen;
 	for (const auto& one : cells)
 	{
-		seen[static_cast<rollout::cell_index>(one.cell)] += read(one.levels);
+		seen[static_cast<rollout::cell_index>(one.cell)] += from_wire(one.levels);
 	}
 	return seen;
 }
 
-std::vector<wire::RelayTimeEvidence> written(const rollout::times_by_model& times)
+std::vector<wire::RelayTimeEvidence> to_wire(const rollout::times_by_model& times)
 {
 	std::vector<wire::RelayTimeEvidence> all;
 	for (const auto& [model, seen] : times)
 	{
 		auto& added = all.emplace_back();
 		added.model = model;
-		added.usual = written(seen.usual);
-		added.before = written(seen.before);
-		added.old_version = written(seen.old_version);
-		added.new_version = written(seen.new_version);
+		added.usual = to_wire(seen.usual);
+		added.before = to_wire(seen.before);
+		added.old_version = to_wire(seen.old_version);
+		added.new_version = to_wire(seen.new_version);
 	}
 	return all;
 }
 
-rollout::times_by_model read(const std::vector<wire::RelayTimeEvidence>& times)
+rollout::times_by_model from_wire(const std::vector<wire::RelayTimeEvidence>& times)
 {
 	rollout::times_by_model all;
 	for (const auto& one : times)
 	{
-		all[one.model] = {read(one.usual), read(one.before), read(one.old_version), read(one.new_version)};
+		all[one.model] = {from_wire(one.usual), from_wire(one.before), from_wire(one.old_version),
+			from_wire(one.new_version)};
 	}
 	return all;
 }
 
-wire::RelayEvidence written(const rollout::shift_evidence& evidence)
+wire::RelayEvidence to_wire(const rollout::shift_evidence& evidence)
 {
 	wire::RelayEvidence message;
 	message.service_name = evidence.service.str();
 	message.order = evidence.order.value();
 	for (const auto& [route, seen] : evidence.seen.by_route)
 	{
-		message.routes.push_back(written(route, seen));
+		message.routes.push_back(to_wire(route, seen));
 	}
-	message.late = written({}, evidence.seen.late);
-	message.models = written(evidence.seen.by_model);
-	message.paces = written(evidence.seen.by_pace);
+	message.late = to_wire({}, evidence.seen.late);
+	message.models = to_wire(evidence.seen.by_model);
+	message.paces = to_wire(evidence.seen.by_pace);
 	return message;
 }
 
-rollout::shift_evidence read(const wire::RelayEvidence& message)
+rollout::shift_evidence from_wire(const wire::RelayEvidence& message)
 {
 	rollout::shift_evidence evidence{service_id{message.service_name}, row_version{message.order}, {}};
 	for (const auto& one : message.routes)
 	{
-		evidence.seen.by_route[one.route] = read(one);
+		evidence.seen.by_route[one.route] = from_wire(one);
 	}
-	evidence.seen.late = read(message.late);
-	evidence.seen.by_model = read(message.models);
-	evidence.seen.by_pace = read(message.paces);
+	evidence.seen.late = from_wire(message.late);
+	evidence.seen.by_model = from_wire(message.models);
+	evidence.seen.by_pace = from_wire(message.paces);
 	return evidence;
 }
 
-std::vector<wire::RelaySuspension> written(const std::vector<rollout::shift_suspension>& suspended)
+std::vector<wire::RelaySuspension> to_wire(const std::vector<rollout::shift_suspension>& suspended)
 {
 	std::vector<wire::RelaySuspension> all;
 	all.reserve(suspended.size());
@@ -193,7 +194,7 @@
 	return all;
 }
 
-std::vector<rollout::shift_suspension> read(const std::vector<wire::RelaySuspension>& suspended)
+std::vector<rollout::shift_suspension> from_wire(const std::vector<wire::RelaySuspension>& suspended)
 {
 	std::vector<rollout::shift_suspension> all;
 	all.reserve(suspended.size());
@@ -204,7 +205,7 @@
 	return all;
 }
 
-std::vector<std::int64_t> written(const std::set<quarantine::process_life>& lives)
+std::vector<std::int64_t> to_wire(const std::set<quarantine::process_life>& lives)
 {
 	std::vector<std::int64_t> all;
 	all.reserve(lives.size());
@@ -215,7 +216,7 @@
 	return all;
 }
 
-std::set<quarantine::process_life> read_lives(const std::vector<std::int64_t>& lives)
+std::set<quarantine::process_life> lives_from_wire(const std::vector<std::int64_t>& lives)
 {
 	std::set<quarantine::process_life> all;
 	for (const auto life : lives)
@@ -225,7 +226,7 @@
 	return all;
 }
 
-std::vector<wire::RelaySuspicion> written(const std::vector<quarantine::suspicion>& suspects)
+std::vector<wire::RelaySuspicion> to_wire(const std::vector<quarantine::suspicion>& suspects)
 {
 	std::vector<wire::RelaySuspicion> all;
 	all.reserve(suspects.size());
@@ -237,14 +238,14 @@
 		{
 			auto& end = added.ended.emplace_back();
 			end.life = life.value();
-			end.together = written(together);
+			end.together = to_wire(together);
 		}
-		added.survived = written(one.survived);
+		added.survived = to_wire(one.survived);
 	}
 	return all;
 }
 
-std::vector<quarantine::suspicion> read(const std::vector<wire::RelaySuspicion>& suspects)
+std::vector<quarantine::suspicion> from_wire(const std::vector<wire::RelaySuspicion>& suspects)
 {
 	std::vector<quarantine::suspicion> all;
 	all.reserve(suspects.size());
@@ -254,13 +255,13 @@
 		added.key = quarantine::request_key{one.key};
 		for (const auto& end : one.ended)
 		{
-			added.ended[quarantine::process_life{end.life}] = read_lives(end.together);
+			added.ended[quarantine::process_life{end.life}] = lives_from_wire(end.together);
 		}
-		added.survived = read_lives(one.survived);
+		added.survived = lives_from_wire(one.survived);
 	}
 	return all;
 }
-std::vector<wire::RelayLimit> written(const std::vector<routing::limit_news>& limits)
+std::vector<wire::RelayLimit> to_wire(const std::vector<routing::limit_news>& limits)
 {
 	std::vector<wire::RelayLimit> all;
 	all.reserve(limits.size());
@@ -278,7 +279,7 @@
 	return all;
 }
 
-std::vector<routing::limit_news> read(const std::vector<wire::RelayLimit>& limits)
+std::vector<routing::limit_news> from_wire(const std::vector<wire::RelayLimit>& limits)
 {
 	std::vector<routing::limit_news> all;
 	all.reserve(limits.size());
@@ -292,59 +293,60 @@
 }
 } // namespace
 
-wire::RelayReport written(const peer_report& report)
+wire::RelayReport to_wire(const peer_report& report)
 {
 	wire::RelayReport message;
 	message.reporter = report.reporter;
-	message.work = written(report.work);
+	message.work = to_wire(report.work);
 	for (const auto& one : report.evidence)
 	{
-		message.evidence.push_back(written(one));
+		message.evidence.push_back(to_wire(one));
 	}
 	if (!report.suspended.empty())
 	{
-		message.__set_suspended(written(report.suspended));
+		message.__set_suspended(to_wire(report.suspended));
 	}
 	if (!report.suspects.empty())
 	{
-		message.__set_suspects(written(report.suspects));
+		message.__set_suspects(to_wire(report.suspects));
 	}
 	if (!report.limits.empty())
 	{
-		message.__set_limits(written(report.limits));
+		message.__set_limits(to_wire(report.limits));
 	}
 	return message;
 }
 
-peer_report read(const wire::RelayReport& message)
+peer_report from_wire(const wire::RelayReport& message)
 {
-	peer_report report{message.reporter, read(message.work), {}, read(message.suspended),
-		read(message.suspects), read(message.limits)};
+	peer_report report{message.reporter, from_wire(message.work), {}, from_wire(message.suspended),
+		from_wire(message.suspects), from_wire(message.limits)};
 	for (const auto& one : message.evidence)
 	{
-		report.evidence.push_back(read(one));
+		report.evidence.push_back(from_wire(one));
 	}
 	return report;
 }
 
-wire::RelaySummary written(const peer_summary& summary)
+wire::RelaySummary to_wire(const peer_summary& summary)
 {
 	wire::RelaySummary message;
-	message.work = written(summary.work);
-	message.suspended = written(summary.suspended);
+	message.work = to_wire(summary.work);
+	message.suspended = to_wire(summary.suspended);
 	if (!summary.suspects.empty())
 	{
-		message.__set_suspects(written(summary.suspects));
+		message.__set_suspects(to_wire(summary.suspects));
 	}
 	if (!summary.limits.empty())
 	{
-		message.__set_limits(written(summary.limits));
+		message.__set_limits(to_wire(summary.limits));
 	}
 	return message;
 }
 
-peer_summary read(const wire::RelaySummary& message)
+peer_summary from_wire(const wire::RelaySummary& message)
 {
-	return {read(message.work), read(message.suspended), read(message.suspects), read(message.limits)};
+	return {from_wire(message.work), from_wire(message.suspended), from_wire(message.suspects),
+		from_wire(message.limits)};
 }
 } // namespace gingerdyke::control
--- a/src/control/report_message.hpp
+++ b/src/control/report_message.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Reports between VMs as the messages that carry them.
+// Conversion between peer reports and their Thrift messages.
 #pragma once
 
 #include "relay_types.h"
@@ -7,15 +7,15 @@
 
 namespace gingerdyke::control
 {
-/// \brief Writes a report as its message.
-[[nodiscard]] wire::RelayReport written(const peer_report& report);
+/// \brief Converts a report to its message.
+[[nodiscard]] wire::RelayReport to_wire(const peer_report& report);
 
-/// \brief Reads a report from its message.
-[[nodiscard]] peer_report read(const wire::RelayReport& message);
+/// \brief Converts a message to a report.
+[[nodiscard]] peer_report from_wire(const wire::RelayReport& message);
 
-/// \brief Writes a summary as its message.
-[[nodiscard]] wire::RelaySummary written(const peer_summary& summary);
+/// \brief Converts a summary to its message.
+[[nodiscard]] wire::RelaySummary to_wire(const peer_summary& summary);
 
-/// \brief Reads a summary from its message.
-[[nodiscard]] peer_summary read(const wire::RelaySummary& message);
+/// \brief Converts a message to a summary.
+[[nodiscard]] peer_summary from_wire(const wire::RelaySummary& message);
 } // namespace gingerdyke::control
--- a/src/control/shared_store.cpp
+++ b/src/control/shared_store.cpp
@@ -221,7 +221,7 @@
 	relay_poll poll;
 	poll.table = call.table;
 	poll.after = call.after;
-	poll.oldest = is_known ? std::optional{tuning_.oldest_copy} : std::nullopt;
+	poll.max_age = is_known ? std::optional{tuning_.oldest_copy} : std::nullopt;
 	poll.report = call.after ? hooks_.report(call.table) : std::nullopt;
 	poll.wait = wait_at_peer(call);
 	const auto limit = call.after ? poll.wait + tuning_.answer_limit : tuning_.whole_wait;
--- a/tests/control/peer_report.cpp
+++ b/tests/control/peer_report.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What VMs that read through each other tell one another.
+// Reports and summaries exchanged between VMs.
 #include "../support/control_world.hpp"
 #include <gingerdyke/control/report_board.hpp>
 
@@ -8,51 +8,50 @@
 
 namespace
 {
-quarantine::suspicion suspect(const char* key)
+quarantine::suspicion make_suspicion(const char* key)
 {
 	using quarantine::process_life;
 	return {quarantine::request_key{key},
 		{{process_life{-1}, {}}, {process_life{5}, {process_life{6}, process_life{-7}}}}, {process_life{9}}};
 }
 
-routing::limit_news limit_of(const char* replica, std::optional<double> requests_per_s, duration age)
+routing::limit_news make_limit(const char* replica, std::optional<double> requests_per_s, duration age)
 {
 	return {replica_id{replica}, routing::replica_incarnation{4}, requests_per_s, age};
 }
 } // namespace
 
-TEST_CASE(
-	"work that others have open is summed up without the asker's, and only while it is fresh", "[reports]")
+TEST_CASE("work of other VMs is summed without the receiver's own and expires", "[reports]")
 {
 	report_board board;
-	board.take("a", {{replica_id{"r1"}, 100}, {replica_id{"r2"}, 10}}, start);
-	board.take("b", {{replica_id{"r1"}, 50}}, start);
-	board.take("a", {{replica_id{"r1"}, 70}}, start + milliseconds{200});
-	const auto for_c = board.work_of_others("c", start + milliseconds{300});
+	board.set_work("a", {{replica_id{"r1"}, 100}, {replica_id{"r2"}, 10}}, start);
+	board.set_work("b", {{replica_id{"r1"}, 50}}, start);
+	board.set_work("a", {{replica_id{"r1"}, 70}}, start + milliseconds{200});
+	const auto for_c = board.work_excluding("c", start + milliseconds{300});
 	REQUIRE(for_c.size() == 1);
 	CHECK(for_c.front().tokens == 120);
-	CHECK(board.work_of_others("a", start + milliseconds{300}).front().tokens == 50);
-	CHECK(board.work_of_others("b", start + milliseconds{1600}).front().tokens == 70);
-	CHECK(board.work_of_others("c", start + seconds{5}).empty());
+	CHECK(board.work_excluding("a", start + milliseconds{300}).front().tokens == 50);
+	CHECK(board.work_excluding("b", start + milliseconds{1600}).front().tokens == 70);
+	CHECK(board.work_excluding("c", start + seconds{5}).empty());
 }
 
-TEST_CASE(
-	"what others heard of limits is told with its age, without the asker's, while it is fresh", "[reports]")
+TEST_CASE("rate limits of other VMs are returned with their age, without the receiver's own, and expire",
+	"[reports]")
 {
 	report_board board;
-	board.take_limits("a", {limit_of("r1", 1.5, milliseconds{40})}, start);
-	board.take_limits("b", {limit_of("r2", std::nullopt, milliseconds{5})}, start);
-	const auto for_b = board.limits_of_others("b", start + milliseconds{300});
+	board.set_limits("a", {make_limit("r1", 1.5, milliseconds{40})}, start);
+	board.set_limits("b", {make_limit("r2", std::nullopt, milliseconds{5})}, start);
+	const auto for_b = board.limits_excluding("b", start + milliseconds{300});
 	REQUIRE(for_b.size() == 1);
 	CHECK(for_b.front().replica == replica_id{"r1"});
 	CHECK(for_b.front().age == milliseconds{340});
-	CHECK(board.limits_of_others("c", start + milliseconds{300}).size() == 2);
-	board.take_limits("a", {}, start + milliseconds{300});
-	CHECK(board.limits_of_others("b", start + milliseconds{300}).empty());
-	CHECK(board.limits_of_others("c", start + seconds{2}).empty());
+	CHECK(board.limits_excluding("c", start + milliseconds{300}).size() == 2);
+	board.set_limits("a", {}, start + milliseconds{300});
+	CHECK(board.limits_excluding("b", start + milliseconds{300}).empty());
+	CHECK(board.limits_excluding("c", start + seconds{2}).empty());
 }
 
-TEST_CASE("a report goes with a poll, and a summary comes back", "[reports]")
+TEST_CASE("a poll carries a report and its response a summary", "[reports]")
 {
 	proxy::asio::io_context context{1};
 	auto cache = copy_of_one_row();
@@ -62,7 +61,7 @@
 	hooks.summarise = [](const std::string& reporter)
 	{
 		return peer_summary{{{replica_id{"for " + reporter}, 7}}, {{service_id{"s"}, row_version{12}}},
-			{suspect("held")}, {limit_of("r1", std::nullopt, milliseconds{7})}};
+			{make_suspicion("held")}, {make_limit("r1", std::nullopt, milliseconds{7})}};
 	};
 	relay_server server{context, hooks};
 	const auto port = free_port(context);
@@ -80,15 +79,15 @@
 	seen.seen.by_pace["m"].usual.note(0.8);
 	seen.seen.by_pace["m"].new_version[5].note(3);
 	seen.seen.late.new_version[1] = {4, 1};
-	const rollout::shift_suspension verdict{service_id{"s"}, row_version{12}};
-	const peer_report report{"me", {{replica_id{"r1"}, 40}}, {seen}, {verdict}, {suspect("seen")},
-		{limit_of("r2", 1.5, milliseconds{20})}};
+	const rollout::shift_suspension suspension{service_id{"s"}, row_version{12}};
+	const peer_report report{"me", {{replica_id{"r1"}, 40}}, {seen}, {suspension}, {make_suspicion("seen")},
+		{make_limit("r2", 1.5, milliseconds{20})}};
 	client->call({0, "t", row_version{3}, milliseconds{1}, {}, report}, seconds{20},
 		[](const store_result<row_batch>&) {});
 	test::run_until(context, [&] { return summary.has_value(); });
 	CHECK(summary->work.front().replica.str() == "for me");
 	CHECK(summary->suspended.front().order.value() == 12);
-	CHECK(summary->suspects == std::vector{suspect("held")});
+	CHECK(summary->suspects == std::vector{make_suspicion("held")});
 	REQUIRE(summary->limits.size() == 1);
 	CHECK_FALSE(summary->limits.front().requests_per_s);
 	REQUIRE(reported);
@@ -97,7 +96,7 @@
 	CHECK(reported->evidence.front().seen == seen.seen);
 	REQUIRE(reported->suspended.size() == 1);
 	CHECK(reported->suspended.front().order.value() == 12);
-	CHECK(reported->suspects == std::vector{suspect("seen")});
+	CHECK(reported->suspects == std::vector{make_suspicion("seen")});
 	REQUIRE(reported->limits.size() == 1);
 	CHECK(reported->limits.front().replica == replica_id{"r2"});
 	CHECK(reported->limits.front().incarnation == routing::replica_incarnation{4});
--- a/tests/control/relay.cpp
+++ b/tests/control/relay.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-// Frames between VMs, and polls of another VM's copy.
+// Relay protocol between VMs: frame encoding, polls and connections.
 #include "../support/control_world.hpp"
 
 using namespace gingerdyke;
 using namespace gingerdyke::test;
 
-TEST_CASE("frames are read back as they were written, and nonsense is no frame", "[relay]")
+TEST_CASE("frames round-trip and malformed frames are rejected", "[relay]")
 {
 	relay_answer answer;
 	answer.call = 9;
@@ -27,7 +27,7 @@
 	CHECK_FALSE(frame_length("\xff\xff\xff\xff"));
 }
 
-TEST_CASE("a poll of another VM is answered when there is news, and ends when that VM goes", "[relay]")
+TEST_CASE("a held poll is answered by a change and fails when the server stops", "[relay]")
 {
 	relay_pair world;
 	world.poll(row_version{3}, seconds{10});
@@ -47,10 +47,10 @@
 	CHECK(world.got->error() == store_error::unreachable);
 }
 
-TEST_CASE("a copy that is too old for the asker is told at once", "[relay]")
+TEST_CASE("a poll is answered at once if the copy is too old for the caller", "[relay]")
 {
 	relay_pair world{seconds{5}};
-	// Held for its whole wait, the poll would outlast the limit of the test.
+	// If the server held the poll for its full wait, the test would time out.
 	world.poll(row_version{3}, seconds{1000}, seconds{2});
 	world.await_answer();
 	REQUIRE(*world.got);
@@ -58,31 +58,30 @@
 	CHECK((*world.got)->age >= seconds{5});
 }
 
-TEST_CASE("a poll that waits is answered as soon as the copy has grown too old for the asker", "[relay]")
+TEST_CASE("a held poll is answered as soon as the copy is too old for the caller", "[relay]")
 {
 	relay_pair world{seconds{2}};
-	const auto oldest = milliseconds{2300};
-	world.poll(row_version{3}, seconds{1000}, oldest);
+	const auto max_age = milliseconds{2300};
+	world.poll(row_version{3}, seconds{1000}, max_age);
 	world.await_answer();
 	REQUIRE(*world.got);
-	CHECK((*world.got)->age > oldest);
-	// Held until the longest wait that a server allows, 10 s, it would be older.
+	CHECK((*world.got)->age > max_age);
+	// If held for the server's maximum wait of 10 s, the copy would be older.
 	CHECK((*world.got)->age < seconds{10});
 }
 
-TEST_CASE("a VM to which no connection comes up is given up long before its answer is", "[relay]")
+TEST_CASE("a call fails at the connect timeout, long before its response timeout", "[relay]")
 {
 	proxy::asio::io_context context{1};
-	// The queue of new connections is full and nobody takes any: the next one hangs, as to a VM without
-	// power.
-	proxy::tcp::acceptor full{context};
-	full.open(proxy::tcp::v4());
-	full.bind({proxy::asio::ip::address_v4::loopback(), 0});
-	full.listen(0);
-	const auto at = full.local_endpoint();
+	// The accept queue is full and never drained, so the next connection hangs as if the VM had lost power.
+	proxy::tcp::acceptor full_backlog{context};
+	full_backlog.open(proxy::tcp::v4());
+	full_backlog.bind({proxy::asio::ip::address_v4::loopback(), 0});
+	full_backlog.listen(0);
+	const auto at = full_backlog.local_endpoint();
 	std::vector<proxy::tcp::socket> fillers;
-	constexpr int more_than_fit = 4;
-	for (int i = 0; i < more_than_fit; ++i)
+	constexpr int excess_connections = 4;
+	for (int i = 0; i < excess_connections; ++i)
 	{
 		fillers.emplace_back(context);
 		fillers.back().async_connect(at, [](const proxy::error_code&) {});
