--- a/fuzz/fuzz_relay_frame.cpp
+++ b/fuzz/fuzz_relay_frame.cpp
@@ -12,17 +12,18 @@
 	if (const auto poll = read_poll(bytes))
 	{
 		const auto frame = write_frame(*poll);
-		const auto again = read_poll(std::string_view{frame}.substr(relay_length_bytes));
+		const auto again = read_poll(std::string_view{frame}.substr(frame_header_bytes));
 		if (!again || again->table != poll->table || again->report.has_value() != poll->report.has_value())
 		{
 			__builtin_trap();
 		}
 	}
-	if (const auto answer = read_answer(bytes))
+	if (const auto answer = read_response(bytes))
 	{
 		const auto frame = write_frame(*answer);
-		const auto again = read_answer(std::string_view{frame}.substr(relay_length_bytes));
-		if (!again || again->call != answer->call || again->result.has_value() != answer->result.has_value())
+		const auto again = read_response(std::string_view{frame}.substr(frame_header_bytes));
+		if (!again || again->call_id != answer->call_id ||
+			again->result.has_value() != answer->result.has_value())
 		{
 			__builtin_trap();
 		}
--- a/include/gingerdyke/control/relay_codec.hpp
+++ b/include/gingerdyke/control/relay_codec.hpp
@@ -14,7 +14,7 @@
 struct relay_poll
 {
 	/// Identifies the call; the response repeats it.
-	std::int64_t call{};
+	std::int64_t call_id{};
 	std::string table;
 
 	/// Version to continue from; none for the full table.
@@ -32,9 +32,9 @@
 };
 
 /// \brief The response to a poll.
-struct relay_answer
+struct relay_response
 {
-	std::int64_t call{};
+	std::int64_t call_id{};
 	store_result<row_batch> result{row_batch{}};
 
 	/// The rows as packed by `pack_rows`, in place of those in `result`; null if the rows are in `result`.
@@ -48,16 +48,16 @@
 };
 
 /// Maximum frame size, in bytes. A full table of the designed size (1,600 replicas) takes half a megabyte.
-inline constexpr std::size_t largest_relay_frame = 8U << 20U;
+inline constexpr std::size_t max_frame_bytes = 8U << 20U;
 
 /// Size of the length prefix of a frame, in bytes.
-inline constexpr std::size_t relay_length_bytes = 4;
+inline constexpr std::size_t frame_header_bytes = 4;
 
 /// \brief Encodes a frame, including its length prefix.
 [[nodiscard]] std::string write_frame(const relay_poll& poll);
 
 /// \copydoc write_frame
-[[nodiscard]] std::string write_frame(const relay_answer& answer);
+[[nodiscard]] std::string write_frame(const relay_response& response);
 
 /// \brief Returns the frame length encoded in the first bytes; none if it exceeds the maximum.
 [[nodiscard]] std::optional<std::size_t> frame_length(std::string_view first_bytes);
@@ -67,5 +67,5 @@
 
 /// \brief Decodes a response from a frame without its length prefix; none if malformed. Its rows carry no
 /// table name, as it is known from the poll.
-[[nodiscard]] std::optional<relay_answer> read_answer(std::string_view frame);
+[[nodiscard]] std::optional<relay_response> read_response(std::string_view frame);
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/relay_server.hpp
+++ b/include/gingerdyke/control/relay_server.hpp
@@ -13,16 +13,16 @@
 struct relay_server_hooks
 {
 	/// Returns the copy of a table, or null if the table is not followed.
-	std::function<const table_cache*(const std::string& table)> find;
+	std::function<const table_cache*(const std::string& table)> find_table;
 
 	/// Returns whether this VM reads a table from the registry itself.
 	std::function<bool(const std::string& table)> reads_registry;
 
 	/// Called with each report received.
-	std::function<void(const peer_report&)> reported;
+	std::function<void(const peer_report&)> report_received;
 
 	/// Returns the summary for a VM that reported.
-	std::function<peer_summary(const std::string& reporter)> summarise;
+	std::function<peer_summary(const std::string& reporter)> make_summary;
 };
 
 /// \brief Answers polls. A poll for which there are no changes is held until there are some, its wait
@@ -59,13 +59,13 @@
 
 	void accept();
 	void on_frame(const std::shared_ptr<frame_link>& from, std::string_view frame);
-	[[nodiscard]] bool has_answer(const relay_poll& poll) const;
+	[[nodiscard]] bool can_respond(const relay_poll& poll) const;
 	[[nodiscard]] duration time_until_too_old(const relay_poll& poll) const;
 	[[nodiscard]] instant next_check_at(const waiting_poll& one) const;
-	void answer(const waiting_poll& to);
-	void add_rows(const table_cache& from, const relay_poll& poll, relay_answer& to);
+	void respond(const waiting_poll& to);
+	void add_rows(const table_cache& from, const relay_poll& poll, relay_response& to);
 	void arm_timer();
-	void answer_due_polls();
+	void respond_to_due_polls();
 
 	proxy::asio::io_context& context_;
 	relay_server_hooks hooks_;
--- a/include/gingerdyke/control/shared_store.hpp
+++ b/include/gingerdyke/control/shared_store.hpp
@@ -63,7 +63,7 @@
 	std::function<std::optional<peer_report>(const std::string& table)> report;
 
 	/// Told what the other VM knows.
-	std::function<void(const peer_summary&)> summarised;
+	std::function<void(const peer_summary&)> summary_received;
 
 	/// Told when this VM begins to read the contact table from the registry itself, and when it no longer
 	/// does.
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -17,7 +17,7 @@
 {
 	shared_store_hooks hooks;
 	hooks.report = [this](const std::string& table) { return report_with(table); };
-	hooks.summarised = [this](const peer_summary& summary) { on_summary(summary); };
+	hooks.summary_received = [this](const peer_summary& summary) { on_summary(summary); };
 	hooks.moved = [this](bool reads_registry)
 	{
 		gateway_.versions().note_reads_registry(reads_registry);
@@ -50,14 +50,14 @@
 relay_server_hooks coordinator::server_hooks()
 {
 	relay_server_hooks hooks;
-	hooks.find = [this](const std::string& table)
+	hooks.find_table = [this](const std::string& table)
 	{
 		const auto* follower = follower_of(table);
 		return follower == nullptr ? nullptr : &follower->cache();
 	};
 	hooks.reads_registry = [this](const std::string& table) { return store_.reads_registry(table); };
-	hooks.reported = [this](const peer_report& report) { on_report(report); };
-	hooks.summarise = [this](const std::string& reporter) { return summary_for(reporter); };
+	hooks.report_received = [this](const peer_report& report) { on_report(report); };
+	hooks.make_summary = [this](const std::string& reporter) { return summary_for(reporter); };
 	return hooks;
 }
 
--- a/src/control/frame_link.cpp
+++ b/src/control/frame_link.cpp
@@ -73,7 +73,7 @@
 		return;
 	}
 	buffer_.commit(size);
-	while (buffer_.size() >= relay_length_bytes && !closed_)
+	while (buffer_.size() >= frame_header_bytes && !closed_)
 	{
 		const std::string_view bytes{static_cast<const char*>(buffer_.data().data()), buffer_.size()};
 		const auto length = frame_length(bytes);
@@ -82,12 +82,12 @@
 			fail();
 			return;
 		}
-		if (bytes.size() < relay_length_bytes + *length)
+		if (bytes.size() < frame_header_bytes + *length)
 		{
 			break;
 		}
-		hooks_.frame_received(bytes.substr(relay_length_bytes, *length));
-		buffer_.consume(relay_length_bytes + *length);
+		hooks_.frame_received(bytes.substr(frame_header_bytes, *length));
+		buffer_.consume(frame_header_bytes + *length);
 	}
 	if (!closed_)
 	{
--- a/src/control/relay_client.cpp
+++ b/src/control/relay_client.cpp
@@ -20,8 +20,8 @@
 
 void relay_client::call(relay_poll poll, duration limit, done_hook done)
 {
-	poll.call = next_call_id_++;
-	const auto call_id = poll.call;
+	poll.call_id = next_call_id_++;
+	const auto call_id = poll.call_id;
 	auto timer = std::make_shared<proxy::boot_timer>(context_);
 	timer->expires_after(limit);
 	timer->async_wait(
@@ -90,22 +90,22 @@
 
 void relay_client::on_frame(std::string_view frame)
 {
-	auto answer = read_answer(frame);
-	if (!answer)
+	auto response = read_response(frame);
+	if (!response)
 	{
 		log::write(log::level::warn, "relay: malformed response", {{"vm", to_.vm.str()}});
 		abandon();
 		return;
 	}
-	if (answer->summary)
+	if (response->summary)
 	{
-		on_summary_(*answer->summary);
+		on_summary_(*response->summary);
 	}
-	if (answer->result)
+	if (response->result)
 	{
-		answer->result->is_relayed = answer->is_relayed;
+		response->result->is_relayed = response->is_relayed;
 	}
-	end_call(answer->call, std::move(answer->result));
+	end_call(response->call_id, std::move(response->result));
 }
 
 void relay_client::end_call(std::int64_t call_id, store_result<row_batch> result)
--- a/src/control/relay_codec.cpp
+++ b/src/control/relay_codec.cpp
@@ -43,10 +43,10 @@
 	message.write(&protocol);
 	const auto body = buffer->getBufferAsString();
 	std::string frame;
-	frame.reserve(relay_length_bytes + body.size());
+	frame.reserve(frame_header_bytes + body.size());
 	constexpr unsigned byte_bits = 8;
 	constexpr unsigned byte_mask = 0xff;
-	for (std::size_t i = relay_length_bytes; i-- > 0;)
+	for (std::size_t i = frame_header_bytes; i-- > 0;)
 	{
 		frame.push_back(static_cast<char>((body.size() >> (i * byte_bits)) & byte_mask));
 	}
@@ -77,7 +77,7 @@
 std::string write_frame(const relay_poll& poll)
 {
 	wire::RelayPoll message;
-	message.call = poll.call;
+	message.call = poll.call_id;
 	message.table = poll.table;
 	message.whole = !poll.after.has_value();
 	message.after = poll.after.value_or(row_version{0}).value();
@@ -93,24 +93,24 @@
 	return encode_frame(message);
 }
 
-std::string write_frame(const relay_answer& answer)
+std::string write_frame(const relay_response& response)
 {
 	wire::RelayAnswer message;
-	message.call = answer.call;
-	if (answer.is_relayed)
+	message.call = response.call_id;
+	if (response.is_relayed)
 	{
 		message.__set_second_hand(true);
 	}
-	if (answer.summary)
+	if (response.summary)
 	{
-		message.__set_summary(to_wire(*answer.summary));
+		message.__set_summary(to_wire(*response.summary));
 	}
-	if (!answer.result)
+	if (!response.result)
 	{
-		message.outcome = outcome_number(answer.result.error());
+		message.outcome = outcome_number(response.result.error());
 		return encode_frame(message);
 	}
-	const auto& batch = *answer.result;
+	const auto& batch = *response.result;
 	message.outcome = outcome_success;
 	for (const auto& one : batch.rows)
 	{
@@ -120,9 +120,9 @@
 		wire_row.version = one.version.value();
 		wire_row.removed = one.removed;
 	}
-	if (answer.packed)
+	if (response.packed)
 	{
-		message.__set_packed(*answer.packed);
+		message.__set_packed(*response.packed);
 	}
 	message.newest = batch.newest.value();
 	message.registry_time_us = batch.at.count();
@@ -134,11 +134,11 @@
 {
 	constexpr unsigned byte_bits = 8;
 	std::size_t length = 0;
-	for (const auto c : first_bytes.substr(0, relay_length_bytes))
+	for (const auto c : first_bytes.substr(0, frame_header_bytes))
 	{
 		length = (length << byte_bits) | static_cast<unsigned char>(c);
 	}
-	return length <= largest_relay_frame ? std::optional{length} : std::nullopt;
+	return length <= max_frame_bytes ? std::optional{length} : std::nullopt;
 }
 
 std::optional<relay_poll> read_poll(std::string_view frame)
@@ -149,7 +149,7 @@
 		return std::nullopt;
 	}
 	relay_poll poll;
-	poll.call = message->call;
+	poll.call_id = message->call;
 	poll.table = message->table;
 	if (!message->whole)
 	{
@@ -167,24 +167,24 @@
 	return poll;
 }
 
-std::optional<relay_answer> read_answer(std::string_view frame)
+std::optional<relay_response> read_response(std::string_view frame)
 {
 	const auto message = decode_message<wire::RelayAnswer>(frame);
 	if (!message)
 	{
 		return std::nullopt;
 	}
-	relay_answer answer;
-	answer.call = message->call;
-	answer.is_relayed = message->__isset.second_hand && message->second_hand;
+	relay_response response;
+	response.call_id = message->call;
+	response.is_relayed = message->__isset.second_hand && message->second_hand;
 	if (message->__isset.summary)
 	{
-		answer.summary = from_wire(message->summary);
+		response.summary = from_wire(message->summary);
 	}
 	if (message->outcome != outcome_success)
 	{
-		answer.result = tl::make_unexpected(outcome_error(message->outcome));
-		return answer;
+		response.result = tl::make_unexpected(outcome_error(message->outcome));
+		return response;
 	}
 	row_batch batch;
 	for (const auto& one : message->rows)
@@ -203,7 +203,7 @@
 	batch.newest = row_version{message->newest};
 	batch.at = registry_time{message->registry_time_us};
 	batch.age = std::max(duration{message->age_us}, duration{0});
-	answer.result = std::move(batch);
-	return answer;
+	response.result = std::move(batch);
+	return response;
 }
 } // namespace gingerdyke::control
--- a/src/control/relay_server.cpp
+++ b/src/control/relay_server.cpp
@@ -65,21 +65,21 @@
 	}
 	if (poll->report)
 	{
-		hooks_.reported(*poll->report);
+		hooks_.report_received(*poll->report);
 	}
 	waiting_poll waiting{*poll, from, proxy::steady_now() + std::clamp(poll->wait, duration{0}, max_wait)};
-	if (has_answer(*poll) || waiting.poll.wait <= duration{0})
+	if (can_respond(*poll) || waiting.poll.wait <= duration{0})
 	{
-		answer(waiting);
+		respond(waiting);
 		return;
 	}
 	waiting_polls_.push_back(std::move(waiting));
 	arm_timer();
 }
 
-bool relay_server::has_answer(const relay_poll& poll) const
+bool relay_server::can_respond(const relay_poll& poll) const
 {
-	const auto* cache = hooks_.find(poll.table);
+	const auto* cache = hooks_.find_table(poll.table);
 	if (cache == nullptr || !cache->is_loaded())
 	{
 		return false;
@@ -90,7 +90,7 @@
 /// Returns how long until this VM's copy exceeds the poll's maximum age, unless it is confirmed before then.
 duration relay_server::time_until_too_old(const relay_poll& poll) const
 {
-	const auto* cache = hooks_.find(poll.table);
+	const auto* cache = hooks_.find_table(poll.table);
 	if (cache == nullptr || !cache->is_loaded() || !poll.max_age)
 	{
 		return duration::max();
@@ -108,16 +108,16 @@
 	return too_old_in < waiting.until - now ? now + too_old_in + just_after : waiting.until;
 }
 
-void relay_server::answer(const waiting_poll& to)
+void relay_server::respond(const waiting_poll& to)
 {
 	const auto connection = to.from.lock();
 	if (!connection)
 	{
 		return;
 	}
-	const auto* cache = hooks_.find(to.poll.table);
-	relay_answer response;
-	response.call = to.poll.call;
+	const auto* cache = hooks_.find_table(to.poll.table);
+	relay_response response;
+	response.call_id = to.poll.call_id;
 	response.is_relayed = !hooks_.reads_registry(to.poll.table);
 	if (cache == nullptr)
 	{
@@ -129,12 +129,12 @@
 	}
 	if (to.poll.report)
 	{
-		response.summary = hooks_.summarise(to.poll.report->reporter);
+		response.summary = hooks_.make_summary(to.poll.report->reporter);
 	}
 	connection->send(write_frame(response));
 }
 
-void relay_server::add_rows(const table_cache& from, const relay_poll& poll, relay_answer& to)
+void relay_server::add_rows(const table_cache& from, const relay_poll& poll, relay_response& to)
 {
 	const auto now = proxy::steady_now();
 	to.result = poll.after ? from.read(poll.after, now) : from.read_metadata(now);
@@ -155,9 +155,9 @@
 {
 	for (auto waiting = waiting_polls_.begin(); waiting != waiting_polls_.end();)
 	{
-		if (waiting->poll.table == table && has_answer(waiting->poll))
+		if (waiting->poll.table == table && can_respond(waiting->poll))
 		{
-			answer(*waiting);
+			respond(*waiting);
 			waiting = waiting_polls_.erase(waiting);
 		}
 		else
@@ -185,19 +185,19 @@
 		{
 			if (!error)
 			{
-				answer_due_polls();
+				respond_to_due_polls();
 			}
 		});
 }
 
-void relay_server::answer_due_polls()
+void relay_server::respond_to_due_polls()
 {
 	const auto now = proxy::steady_now();
 	for (auto waiting = waiting_polls_.begin(); waiting != waiting_polls_.end();)
 	{
-		if (waiting->until <= now || has_answer(waiting->poll))
+		if (waiting->until <= now || can_respond(waiting->poll))
 		{
-			answer(*waiting);
+			respond(*waiting);
 			waiting = waiting_polls_.erase(waiting);
 		}
 		else
--- a/src/control/shared_store.cpp
+++ b/src/control/shared_store.cpp
@@ -314,7 +314,7 @@
 	auto& known = clients_[to.vm];
 	if (!known || known->to() != to)
 	{
-		known = std::make_shared<relay_client>(context_, to, hooks_.summarised);
+		known = std::make_shared<relay_client>(context_, to, hooks_.summary_received);
 	}
 	return known;
 }
--- a/tests/control/relay.cpp
+++ b/tests/control/relay.cpp
@@ -7,22 +7,22 @@
 
 TEST_CASE("frames round-trip and malformed frames are rejected", "[relay]")
 {
-	relay_answer answer;
-	answer.call = 9;
+	relay_response response;
+	response.call = 9;
 	row_batch batch;
 	batch.rows = {make_row("k", 4, "v"), make_row("g", 5, "", true)};
 	batch.newest = row_version{6};
 	batch.at = registry_time{77};
 	batch.age = milliseconds{3};
-	answer.result = batch;
-	const auto frame = write_frame(answer);
-	REQUIRE(frame_length(frame) == frame.size() - relay_length_bytes);
-	const auto read = read_answer(std::string_view{frame}.substr(relay_length_bytes));
+	response.result = batch;
+	const auto frame = write_frame(response);
+	REQUIRE(frame_length(frame) == frame.size() - frame_header_bytes);
+	const auto read = read_response(std::string_view{frame}.substr(frame_header_bytes));
 	REQUIRE(read);
-	CHECK(read->call == 9);
+	CHECK(read->call_id == 9);
 	CHECK(keys_of(read->result) == std::vector<std::string>{"k", "-g"});
 	CHECK(read->result->age == milliseconds{3});
-	CHECK_FALSE(read_answer("nonsense"));
+	CHECK_FALSE(read_response("nonsense"));
 	CHECK_FALSE(read_poll(std::string{"\x00\xff\x12", 3}));
 	CHECK_FALSE(frame_length("\xff\xff\xff\xff"));
 }
--- a/tests/support/control_world.hpp
+++ b/tests/support/control_world.hpp
@@ -39,10 +39,11 @@
 inline relay_server_hooks serving(const table_cache& cache)
 {
 	relay_server_hooks hooks;
-	hooks.find = [&cache](const std::string& table) { return table == cache.table() ? &cache : nullptr; };
+	hooks.find_table = [&cache](const std::string& table)
+	{ return table == cache.table() ? &cache : nullptr; };
 	hooks.reads_registry = [](const std::string&) { return true; };
-	hooks.reported = [](const peer_report&) {};
-	hooks.summarise = [](const std::string&) { return peer_summary{}; };
+	hooks.report_received = [](const peer_report&) {};
+	hooks.make_summary = [](const std::string&) { return peer_summary{}; };
 	return hooks;
 }
 
@@ -138,7 +139,7 @@
 {
 	shared_store_hooks hooks;
 	hooks.report = [](const std::string&) { return std::nullopt; };
-	hooks.summarised = [](const peer_summary&) {};
+	hooks.summary_received = [](const peer_summary&) {};
 	hooks.moved = [](bool) {};
 	hooks.vouched = [](const std::string&, instant) {};
 	return hooks;
