--- a/include/gingerdyke/control/shared_store.hpp
+++ b/include/gingerdyke/control/shared_store.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The registry, read through another VM where that is as good.
+// Store that reads the registry through another VM if that VM's copy is fresh enough.
 #pragma once
 
 #include <gingerdyke/control/relay_client.hpp>
@@ -10,71 +10,70 @@
 /// \brief Tuning of `shared_store`.
 struct shared_store_tuning
 {
-	/// The table that is asked for most often: how old a VM's copy of it is tells whether that VM still has
-	/// the registry. Other tables are read with longer waits, and their copies look good for longer.
-	std::string contact_table;
+	/// The table that is polled most often. The age of a VM's copy of it shows whether that VM still reaches
+	/// the registry; other tables are polled with longer waits, so their copies look fresh for longer.
+	std::string liveness_table;
 
-	/// Another VM's copy that is older than this is not good enough, of whatever table: the VM may have lost
-	/// the registry. It waits there for `coordinator_tuning::operator_wait` and tells itself fresh with each
-	/// answer; what is left of the users' 2 s has to do for learning of a change elsewhere.
-	duration oldest_copy = std::chrono::milliseconds{1100};
+	/// Maximum age of another VM's copy of any table; beyond it that VM may have lost the registry. A reader
+	/// polls the registry with a wait of `coordinator_tuning::operator_wait`, and each response confirms its
+	/// copy; the rest of the required 2 s remains for learning of a change.
+	duration max_peer_copy_age = std::chrono::milliseconds{1100};
 
-	/// Once this VM's own copy of a table is as old as this, the registry itself is asked, whatever other
-	/// VMs offer: a chain of sources that fail or have old copies takes seconds, and meanwhile requests go by
-	/// a configuration, or to a replica, of before the users' 2 s.
-	duration oldest_own = std::chrono::milliseconds{1500};
+	/// Once this VM's copy of a table is this old, it asks the registry whatever other VMs offer. Trying a
+	/// chain of failed or stale sources takes seconds, during which requests are routed by a configuration,
+	/// or to a replica, that should have been given up within the required 2 s.
+	duration max_own_copy_age = std::chrono::milliseconds{1500};
 
-	/// A poll of another VM waits this part of what it would wait at the registry: polls within a failure
+	/// Ratio of the wait of a poll to another VM to that of a poll to the registry; polls within a failure
 	/// domain cost next to nothing.
-	double wait_share = 0.25;
-
-	/// A VM with at least this many before it in rank first waits, then tries two sources once more: by then
-	/// the next one in rank has taken over. Without that, all VMs of a failure domain ask the registry when
-	/// they lose their reader.
-	std::size_t patient_from = 2;
-
-	/// That wait: the rest of a source that failed, and a little.
-	duration patience = std::chrono::milliseconds{550};
-
-	/// A VM that has just started may have to read a table itself before it can give it whole. Who waits for
-	/// it is not ready meanwhile, so not for long: then the registry is asked. After a loss of all VMs the
-	/// first in rank know 3,000 replicas 1.6 s after their start on links of 10 Mbit/s and 0.12 of a core,
-	/// and in a tenth of that on links of 200 Mbit/s and half a core.
-	duration whole_wait = std::chrono::milliseconds{1900};
-
-	/// Sources that one call tries before it asks the registry: one where a VM waits to become ready. Where
-	/// two have old copies, the reader has just been lost and the next one has not taken over yet, or the
-	/// registry itself is away: it has to be asked to know.
-	unsigned sources_to_follow = 2;
-	unsigned sources_to_start = 1;
-
-	/// While the own copy of the contact table is overdue too, only its calls ask the registry; those of
-	/// other tables look again after this time: one table's calls tell whether the registry is back.
-	duration contact_pause = std::chrono::milliseconds{250};
-
-	/// An answer is awaited this long beyond the wait.
-	duration answer_limit = std::chrono::milliseconds{250};
+	double peer_wait_ratio = 0.25;
+
+	/// A VM of at least this rank that has run out of sources waits for `takeover_wait` and then tries its
+	/// sources once more; by then the VM next in rank has taken over as the reader. Otherwise all VMs of a
+	/// failure domain would call the registry when they lose their reader.
+	std::size_t takeover_wait_min_rank = 2;
+
+	/// Backoff of a failed source plus a margin.
+	duration takeover_wait = std::chrono::milliseconds{550};
+
+	/// Timeout for reading a full table from another VM, which may have to read it itself first if it has
+	/// just started. The waiting VM is not ready meanwhile, so it asks the registry after this time. After a
+	/// restart of all VMs, those of the highest rank have read 3,000 replicas 1.6 s after their start on
+	/// links of 10 Mbit/s and 0.12 of a core, and in a tenth of that on links of 200 Mbit/s and half a core.
+	duration full_read_timeout = std::chrono::milliseconds{1900};
+
+	/// Number of sources that one call tries before it asks the registry; only one if the VM waits to become
+	/// ready. If two sources have stale copies, either the reader was just lost and its successor has not
+	/// taken over yet, or the registry itself is unreachable; only the registry can tell which.
+	unsigned max_follow_sources = 2;
+	unsigned max_full_read_sources = 1;
+
+	/// While this VM's copy of the liveness table is overdue as well, only that table's calls try the
+	/// registry, which is enough to detect its return. Calls for other tables retry after this time.
+	duration liveness_retry_delay = std::chrono::milliseconds{250};
+
+	/// Time limit of a response, added to the wait of its poll.
+	duration response_timeout = std::chrono::milliseconds{250};
 };
 
-/// \brief What a `shared_store` exchanges with the VMs that it reads through.
+/// \brief Callbacks of `shared_store`.
 struct shared_store_hooks
 {
-	/// What this VM reports with a call for changes of a table; none with most tables.
+	/// Returns the report to send with a poll for changes of a table; none for most tables.
 	std::function<std::optional<peer_report>(const std::string& table)> report;
 
-	/// Told what the other VM knows.
+	/// Called with each summary received.
 	std::function<void(const peer_summary&)> summary_received;
 
-	/// Told when this VM begins to read the contact table from the registry itself, and when it no longer
-	/// does.
+	/// Called when this VM starts or stops reading the liveness table from the registry itself.
 	std::function<void(bool reads_registry)> moved;
 
-	/// Told that the copy of a table was still the newest at a moment: this VM waits at the registry for its
-	/// changes, and the registry answered another call meanwhile.
+	/// Called when the copy of a table is known to have been the newest at a moment: a call for its changes
+	/// is waiting at the registry, and the registry answered another call meanwhile.
 	std::function<void(const std::string& table, instant newest_at)> vouched;
 };
 
-/// \brief A `row_store` that reads from the registry or from another VM's copy, and writes to the registry.
+/// \brief A `row_store` that reads from the registry or another VM's copy, and writes to the registry.
 class shared_store : public row_store
 {
   public:
@@ -85,10 +84,10 @@
 	void follow(const std::string& table, row_version after, duration wait,
 		std::function<void(store_result<row_batch>)> done) override;
 	void change(const row_change& what, std::function<void(store_result<change_result>)> done) override;
-	/// \brief Gives up the calls at the registry.
+	/// \brief Abandons the pending reads from the registry.
 	void abandon() override;
 
-	/// \brief Whether a table was last asked for at the registry itself.
+	/// \brief Returns whether the last read of a table went to the registry itself.
 	[[nodiscard]] bool reads_registry(const std::string& table) const;
 
   private:
@@ -101,45 +100,45 @@
 		duration wait{};
 		done_hook done;
 
-		/// Sources that failed in this call, and the most that may.
+		/// Sources that failed during this call, and the maximum number to try.
 		unsigned failures{};
-		unsigned most_failures{};
+		unsigned max_failures{};
 
-		/// It has waited for another reader to take over.
-		bool has_waited{};
+		/// Whether the call has already waited for another reader to take over.
+		bool has_waited_for_takeover{};
 	};
 
-	/// What is known of one table's copy at this VM.
+	/// State of this VM's copy of one table.
 	struct table_state
 	{
-		/// When it was last known to be the newest; none: it was never read.
+		/// When the copy was last known to be the newest; none if the table was never read.
 		std::optional<instant> newest_at;
 
-		/// Who was asked last; none: the registry.
+		/// Source of the last read; none for the registry.
 		std::optional<vm_id> source;
 
-		/// Nobody was asked yet.
-		bool is_new = true;
+		/// True until the first read.
+		bool never_read = true;
 
-		/// Since when a call for changes waits at the registry; none: there is no such call.
-		std::optional<instant> waits_since;
+		/// Since when a call for changes has been waiting at the registry; none if there is no such call.
+		std::optional<instant> registry_wait_since;
 	};
 
 	void read(read_call call);
-	void read_overdue(read_call call);
-	[[nodiscard]] std::optional<peer> source_for(const read_call& call) const;
-	void give_up_source(const peer& from, const std::string& table, bool answered);
+	void read_when_overdue(read_call call);
+	[[nodiscard]] std::optional<peer> choose_source(const read_call& call) const;
+	void drop_source(const peer& from, const std::string& table, bool has_responded);
 	[[nodiscard]] bool is_overdue(const std::string& table, instant now) const;
 	[[nodiscard]] duration time_until_overdue(const std::string& table, instant now) const;
 	[[nodiscard]] duration wait_at_peer(const read_call& call) const;
-	[[nodiscard]] bool should_wait(const read_call& call) const;
+	[[nodiscard]] bool should_wait_for_takeover(const read_call& call) const;
 	void read_after(duration pause, read_call call);
 	void read_registry(read_call call);
-	void on_registry_answer(const read_call& call, instant sent_at, const store_result<row_batch>& result);
+	void on_registry_response(const read_call& call, instant sent_at, const store_result<row_batch>& result);
 	void note_newest(const std::string& table, instant at);
-	void vouch_for_others(const std::string& table, instant newest_at);
+	void confirm_waiting_tables(const std::string& table, instant newest_at);
 	void read_peer(const peer& from, read_call call);
-	void on_peer_answer(const peer& from, read_call call, instant sent_at, store_result<row_batch> result);
+	void on_peer_response(const peer& from, read_call call, instant sent_at, store_result<row_batch> result);
 	void note_source(const std::string& table, const std::optional<peer>& source);
 	std::shared_ptr<relay_client> client_of(const peer& to);
 
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -33,8 +33,8 @@
 	coordinator_tuning tuning;
 	tuning.operator_wait = scaled(news_limit, wait_share);
 	tuning.replica_wait = scaled(news_limit, replica_share);
-	tuning.sharing.oldest_copy = scaled(news_limit, copy_share);
-	tuning.sharing.oldest_own = scaled(news_limit, own_share);
+	tuning.sharing.max_peer_copy_age = scaled(news_limit, copy_share);
+	tuning.sharing.max_own_copy_age = scaled(news_limit, own_share);
 	return tuning;
 }
 
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -9,7 +9,7 @@
 shared_store_tuning coordinator::sharing_tuning() const
 {
 	auto tuning = tuning_.sharing;
-	tuning.contact_table = layout_.operator_table;
+	tuning.liveness_table = layout_.operator_table;
 	return tuning;
 }
 
--- a/src/control/shared_store.cpp
+++ b/src/control/shared_store.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The registry, read through another VM where that is as good.
+// Store that reads the registry through another VM if that VM's copy is fresh enough.
 #include <gingerdyke/control/shared_store.hpp>
 #include <gingerdyke/log/log.hpp>
 
@@ -14,13 +14,13 @@
 
 void shared_store::read_all(const std::string& table, std::function<void(store_result<row_batch>)> done)
 {
-	read({table, std::nullopt, tuning_.whole_wait, std::move(done), 0, tuning_.sources_to_start});
+	read({table, std::nullopt, tuning_.full_read_timeout, std::move(done), 0, tuning_.max_full_read_sources});
 }
 
 void shared_store::follow(const std::string& table, row_version after, duration wait,
 	std::function<void(store_result<row_batch>)> done)
 {
-	read({table, after, wait, std::move(done), 0, tuning_.sources_to_follow});
+	read({table, after, wait, std::move(done), 0, tuning_.max_follow_sources});
 }
 
 void shared_store::change(const row_change& what, std::function<void(store_result<change_result>)> done)
@@ -28,8 +28,8 @@
 	registry_.change(what, std::move(done));
 }
 
-/// Calls to other VMs go on: where the registry turns this VM away several times a second, they would never
-/// last long enough to bring anything.
+/// Calls to other VMs continue: if the registry rejects calls several times a second, calls to other VMs that
+/// were abandoned each time would never complete.
 void shared_store::abandon()
 {
 	registry_.abandon();
@@ -38,24 +38,25 @@
 bool shared_store::reads_registry(const std::string& table) const
 {
 	const auto found = tables_.find(table);
-	return found != tables_.end() && !found->second.is_new && !found->second.source;
+	return found != tables_.end() && !found->second.never_read && !found->second.source;
 }
 
 void shared_store::read(read_call call)
 {
 	if (is_overdue(call.table, proxy::steady_now()))
 	{
-		read_overdue(std::move(call));
+		read_when_overdue(std::move(call));
 		return;
 	}
-	if (should_wait(call))
+	if (should_wait_for_takeover(call))
 	{
-		call.has_waited = true;
-		const auto pause = std::min(tuning_.patience, time_until_overdue(call.table, proxy::steady_now()));
+		call.has_waited_for_takeover = true;
+		const auto pause =
+			std::min(tuning_.takeover_wait, time_until_overdue(call.table, proxy::steady_now()));
 		read_after(pause, std::move(call));
 		return;
 	}
-	const auto source = source_for(call);
+	const auto source = choose_source(call);
 	if (source)
 	{
 		read_peer(*source, std::move(call));
@@ -64,39 +65,40 @@
 	read_registry(std::move(call));
 }
 
-void shared_store::read_overdue(read_call call)
+void shared_store::read_when_overdue(read_call call)
 {
 	const auto now = proxy::steady_now();
-	// It is to tell how things are, not to wait for news.
+	// The call must return the current state at once rather than wait for changes.
 	call.wait = duration{0};
-	const auto rest = sources_.registry_rest(now);
-	const bool is_left_to_contact =
-		call.table != tuning_.contact_table && is_overdue(tuning_.contact_table, now);
-	if (!rest && !is_left_to_contact)
+	const auto registry_retry_at = sources_.registry_backoff_until(now);
+	const bool left_to_liveness_calls =
+		call.table != tuning_.liveness_table && is_overdue(tuning_.liveness_table, now);
+	if (!registry_retry_at && !left_to_liveness_calls)
 	{
 		read_registry(std::move(call));
 		return;
 	}
-	if (const auto source = source_for(call))
+	if (const auto source = choose_source(call))
 	{
 		read_peer(*source, std::move(call));
 		return;
 	}
-	const duration until_asked = rest ? std::min<duration>(*rest - now, tuning_.patience) : duration{0};
-	read_after(
-		is_left_to_contact ? std::max(until_asked, tuning_.contact_pause) : until_asked, std::move(call));
+	const duration retry_delay =
+		registry_retry_at ? std::min<duration>(*registry_retry_at - now, tuning_.takeover_wait) : duration{0};
+	read_after(left_to_liveness_calls ? std::max(retry_delay, tuning_.liveness_retry_delay) : retry_delay,
+		std::move(call));
 }
 
-/// None: the registry.
-std::optional<peer> shared_store::source_for(const read_call& call) const
+/// Returns the VM to ask; none for the registry.
+std::optional<peer> shared_store::choose_source(const read_call& call) const
 {
-	const bool may_try = call.failures < call.most_failures;
+	const bool may_try = call.failures < call.max_failures;
 	const auto now = proxy::steady_now();
 	if (!may_try)
 	{
 		return std::nullopt;
 	}
-	return call.after ? sources_.choose(call.table, now) : sources_.choose_whole(call.table, now);
+	return call.after ? sources_.choose(call.table, now) : sources_.choose_for_full_read(call.table, now);
 }
 
 bool shared_store::is_overdue(const std::string& table, instant now) const
@@ -104,7 +106,7 @@
 	return time_until_overdue(table, now) <= duration{0};
 }
 
-/// A table that is not known never is: a VM that has just started takes what it gets.
+/// A table that was never read is never overdue: a VM that has just started accepts any copy.
 duration shared_store::time_until_overdue(const std::string& table, instant now) const
 {
 	const auto found = tables_.find(table);
@@ -112,26 +114,28 @@
 	{
 		return duration::max();
 	}
-	return *found->second.newest_at + tuning_.oldest_own - now;
+	return *found->second.newest_at + tuning_.max_own_copy_age - now;
 }
 
-/// Not past the time at which the own copy is overdue, as long as the source takes to answer included: each
-/// of two sources that had lost the registry held a poll for 0.9 s, and requests went by a copy of 3.3 s.
+/// The wait, including the time limit of the response, ends before the own copy is overdue. Without this
+/// bound each of two sources that had lost the registry held a poll for 0.9 s, and requests were routed by a
+/// copy 3.3 s old.
 duration shared_store::wait_at_peer(const read_call& call) const
 {
 	if (!call.after)
 	{
 		return call.wait;
 	}
-	const auto most = time_until_overdue(call.table, proxy::steady_now());
-	const auto allowed = std::max(most, tuning_.answer_limit) - tuning_.answer_limit;
-	return std::min(scaled(call.wait, tuning_.wait_share), allowed);
+	const auto until_overdue = time_until_overdue(call.table, proxy::steady_now());
+	const auto max_peer_wait = std::max(until_overdue, tuning_.response_timeout) - tuning_.response_timeout;
+	return std::min(scaled(call.wait, tuning_.peer_wait_ratio), max_peer_wait);
 }
 
-bool shared_store::should_wait(const read_call& call) const
+bool shared_store::should_wait_for_takeover(const read_call& call) const
 {
-	const bool is_out_of_sources = call.failures > 0 && call.failures >= call.most_failures;
-	return is_out_of_sources && call.after && !call.has_waited && sources_.position() >= tuning_.patient_from;
+	const bool is_out_of_sources = call.failures > 0 && call.failures >= call.max_failures;
+	return is_out_of_sources && call.after && !call.has_waited_for_takeover &&
+		   sources_.rank() >= tuning_.takeover_wait_min_rank;
 }
 
 void shared_store::read_after(duration pause, read_call call)
@@ -154,11 +158,11 @@
 	note_source(call.table, std::nullopt);
 	if (call.after)
 	{
-		tables_[call.table].waits_since = sent_at;
+		tables_[call.table].registry_wait_since = sent_at;
 	}
 	const auto done = [this, call, sent_at](store_result<row_batch> result)
 	{
-		on_registry_answer(call, sent_at, result);
+		on_registry_response(call, sent_at, result);
 		call.done(std::move(result));
 	};
 	if (call.after)
@@ -171,26 +175,26 @@
 	}
 }
 
-void shared_store::on_registry_answer(
+void shared_store::on_registry_response(
 	const read_call& call, instant sent_at, const store_result<row_batch>& result)
 {
-	tables_[call.table].waits_since.reset();
+	tables_[call.table].registry_wait_since.reset();
 	const bool failed = !result && result.error() != store_error::history_gone;
 	if (failed)
 	{
 		sources_.note_unusable(std::nullopt, proxy::steady_now());
 		return;
 	}
-	sources_.note_good(std::nullopt);
+	sources_.note_usable(std::nullopt);
 	if (!result)
 	{
 		return;
 	}
 	const auto newest_at = sent_at + result->held;
 	note_newest(call.table, newest_at);
-	if (call.table == tuning_.contact_table)
+	if (call.table == tuning_.liveness_table)
 	{
-		vouch_for_others(call.table, newest_at);
+		confirm_waiting_tables(call.table, newest_at);
 	}
 }
 
@@ -200,12 +204,13 @@
 	known = std::max(known.value_or(at), at);
 }
 
-/// News of them would have come: their calls wait there.
-void shared_store::vouch_for_others(const std::string& table, instant newest_at)
+/// Tables with a call waiting at the registry are unchanged, since the registry would have answered that call
+/// otherwise.
+void shared_store::confirm_waiting_tables(const std::string& table, instant newest_at)
 {
 	for (auto& [name, state] : tables_)
 	{
-		const bool was_waiting = state.waits_since && *state.waits_since <= newest_at;
+		const bool was_waiting = state.registry_wait_since && *state.registry_wait_since <= newest_at;
 		if (name != table && state.newest_at && was_waiting)
 		{
 			note_newest(name, newest_at);
@@ -217,14 +222,14 @@
 void shared_store::read_peer(const peer& from, read_call call)
 {
 	note_source(call.table, from);
-	const bool is_known = tables_[call.table].newest_at.has_value();
+	const bool has_copy = tables_[call.table].newest_at.has_value();
 	relay_poll poll;
 	poll.table = call.table;
 	poll.after = call.after;
-	poll.max_age = is_known ? std::optional{tuning_.oldest_copy} : std::nullopt;
+	poll.max_age = has_copy ? std::optional{tuning_.max_peer_copy_age} : std::nullopt;
 	poll.report = call.after ? hooks_.report(call.table) : std::nullopt;
 	poll.wait = wait_at_peer(call);
-	const auto limit = call.after ? poll.wait + tuning_.answer_limit : tuning_.whole_wait;
+	const auto limit = call.after ? poll.wait + tuning_.response_timeout : tuning_.full_read_timeout;
 	const auto sent_at = proxy::steady_now();
 	client_of(from)->call(poll, limit,
 		[this, from, sent_at, wait = poll.wait, call = std::move(call)](
@@ -234,11 +239,11 @@
 			{
 				result->held = wait;
 			}
-			on_peer_answer(from, std::move(call), sent_at, std::move(result));
+			on_peer_response(from, std::move(call), sent_at, std::move(result));
 		});
 }
 
-void shared_store::on_peer_answer(
+void shared_store::on_peer_response(
 	const peer& from, read_call call, instant sent_at, store_result<row_batch> result)
 {
 	if (!result && result.error() == store_error::history_gone)
@@ -246,9 +251,9 @@
 		call.done(std::move(result));
 		return;
 	}
-	// A VM that has just started takes any copy: what follows is judged by its age.
-	const bool is_known = tables_[call.table].newest_at.has_value();
-	const bool is_fresh = result && (!is_known || result->age <= tuning_.oldest_copy);
+	// A VM that has just started accepts a copy of any age; later responses are checked by their age.
+	const bool has_copy = tables_[call.table].newest_at.has_value();
+	const bool is_fresh = result && (!has_copy || result->age <= tuning_.max_peer_copy_age);
 	if (is_fresh)
 	{
 		note_newest(call.table, sent_at + result->held - result->age);
@@ -258,37 +263,37 @@
 		}
 		else
 		{
-			sources_.note_good(from);
+			sources_.note_usable(from);
 		}
 		call.done(std::move(result));
 		return;
 	}
-	log::write(log::level::info, "source given up",
+	log::write(log::level::info, "registry source failed",
 		{{"vm", from.vm.str()}, {"table", call.table}, {"why", result ? "old copy" : name_of(result.error())},
 			{"age_ms", result ? to_milliseconds(result->age) : 0.0}});
 	++call.failures;
-	give_up_source(from, call.table, result.has_value());
+	drop_source(from, call.table, result.has_value());
 	read(std::move(call));
 }
 
-/// \param answered It gave a copy, an old one.
-void shared_store::give_up_source(const peer& from, const std::string& table, bool answered)
+/// \param has_responded Whether the source returned a (stale) copy.
+void shared_store::drop_source(const peer& from, const std::string& table, bool has_responded)
 {
 	const auto now = proxy::steady_now();
-	if (answered && table != tuning_.contact_table)
+	if (has_responded && table != tuning_.liveness_table)
 	{
-		sources_.note_old(from, table, now);
+		sources_.note_stale_copy(from, table, now);
 		return;
 	}
-	if (answered)
+	if (has_responded)
 	{
-		sources_.note_out_of_contact(from, now);
+		sources_.note_registry_lost(from, now);
 	}
 	else
 	{
 		sources_.note_unusable(from, now);
 	}
-	// Its other calls would only end later, or bring what is no longer true.
+	// Its other calls would only fail later or return stale rows.
 	client_of(from)->abandon();
 }
 
@@ -296,14 +301,14 @@
 {
 	auto& state = tables_[table];
 	const auto vm = source ? std::optional{source->vm} : std::nullopt;
-	if (!std::exchange(state.is_new, false) && state.source == vm)
+	if (!std::exchange(state.never_read, false) && state.source == vm)
 	{
 		return;
 	}
 	state.source = vm;
-	log::write(log::level::info, "reading from",
+	log::write(log::level::info, "registry source changed",
 		{{"table", table}, {"source", source ? source->vm.str() : "registry"}});
-	if (table == tuning_.contact_table)
+	if (table == tuning_.liveness_table)
 	{
 		hooks_.moved(!source);
 	}
--- a/src/control/source_selector.cpp
+++ b/src/control/source_selector.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Where a VM reads the registry.
+// Selects where a VM reads registry tables from.
 #include <algorithm>
 #include <cmath>
 #include <gingerdyke/base/crypto.hpp>
@@ -12,25 +12,25 @@
 {
 namespace
 {
-/// Name under which the registry itself rests; no VM has an empty name.
-const std::string registry_name;
+/// Backoff key of the registry itself; no VM has an empty name.
+const std::string registry_key;
 
 /// Stands for all tables; no table has an empty name.
 const std::string all_tables;
 
-/// Sets the choice among readers of whole tables apart from the order of rank.
-constexpr std::uint64_t whole_table_salt = 0x77686f6c65;
+/// Makes the choice among readers of full tables independent of the rank order.
+constexpr std::uint64_t full_read_salt = 0x77686f6c65;
 
-/// Whether a VM is asked before another one of its failure domain.
+/// Returns whether VM `a` is preferred over VM `b` of the same failure domain.
 bool ranks_before(const peer& a, const peer& b)
 {
 	return a.link_mbps != b.link_mbps ? a.link_mbps > b.link_mbps
 									  : stable_hash(a.vm.str()) < stable_hash(b.vm.str());
 }
 
-const std::string& name_of(const std::optional<peer>& source)
+const std::string& backoff_key(const std::optional<peer>& source)
 {
-	return source ? source->vm.str() : registry_name;
+	return source ? source->vm.str() : registry_key;
 }
 } // namespace
 
@@ -42,24 +42,25 @@
 	std::sort(peers.begin(), peers.end(),
 		[this](const peer& a, const peer& b)
 		{
-			const bool a_is_near = a.domain == self_.domain;
-			const bool b_is_near = b.domain == self_.domain;
-			return a_is_near != b_is_near ? a_is_near : ranks_before(a, b);
+			const bool a_is_local = a.domain == self_.domain;
+			const bool b_is_local = b.domain == self_.domain;
+			return a_is_local != b_is_local ? a_is_local : ranks_before(a, b);
 		});
 	peers_ = std::move(peers);
 }
 
 std::optional<peer> source_selector::choose(const std::string& table, instant now) const
 {
-	const bool registry_is_left = registry_rest(now).has_value();
-	if (!registry_is_left && reads_itself(table, now))
+	const bool registry_backing_off = registry_backoff_until(now).has_value();
+	if (!registry_backing_off && should_read_registry(table, now))
 	{
 		return std::nullopt;
 	}
-	std::size_t far = 0;
+	std::size_t remote_sources = 0;
 	for (const auto& one : peers_)
 	{
-		if (one.domain != self_.domain && (!registry_is_left || ++far > tuning_.far_sources))
+		if (one.domain != self_.domain &&
+			(!registry_backing_off || ++remote_sources > tuning_.max_remote_sources))
 		{
 			break;
 		}
@@ -71,8 +72,8 @@
 	return std::nullopt;
 }
 
-/// \brief Links of a failure domain's VMs, in the order of rank.
-std::vector<double> source_selector::near_links() const
+/// \brief Returns the link bandwidths of the own failure domain's VMs, in order of rank.
+std::vector<double> source_selector::local_links() const
 {
 	std::vector<double> links;
 	const auto link_of = [](const peer& one) { return std::max(1.0, static_cast<double>(one.link_mbps)); };
@@ -83,26 +84,27 @@
 			links.push_back(link_of(one));
 		}
 	}
-	links.insert(links.begin() + static_cast<std::ptrdiff_t>(position()), link_of(self_));
+	links.insert(links.begin() + static_cast<std::ptrdiff_t>(rank()), link_of(self_));
 	return links;
 }
 
-/// As many as let all know a table the soonest: each reads it from the registry, the slowest link last, and
-/// they share in giving their copies to the others. At most the square root: beyond that the registry's own
-/// bytes grow with the VMs and little is gained.
-std::size_t source_selector::whole_readers() const
+/// Returns the number of readers for which all VMs receive a full table the soonest. Each reader reads it
+/// from the registry, which takes longest on the slowest link, and then the readers share the work of sending
+/// it to the others. At most the square root of the number of VMs: beyond that the registry's traffic grows
+/// with the VMs and little time is gained.
+std::size_t source_selector::full_reader_count() const
 {
-	const auto links = near_links();
+	const auto links = local_links();
 	const auto count = static_cast<double>(links.size());
-	const auto most = static_cast<std::size_t>(std::lround(std::sqrt(count)));
+	const auto max_readers = static_cast<std::size_t>(std::lround(std::sqrt(count)));
 	std::size_t best = 1;
 	auto best_time = std::numeric_limits<double>::infinity();
-	double sum = 0;
-	for (std::size_t readers = 1; readers <= most; ++readers)
+	double total_mbps = 0;
+	for (std::size_t readers = 1; readers <= max_readers; ++readers)
 	{
-		sum += links[readers - 1];
+		total_mbps += links[readers - 1];
 		const auto others = count - static_cast<double>(readers);
-		const auto time = tuning_.raw_to_packed / links[readers - 1] + others / sum;
+		const auto time = tuning_.raw_to_packed_ratio / links[readers - 1] + others / total_mbps;
 		if (time < best_time)
 		{
 			best = readers;
@@ -112,27 +114,27 @@
 	return best;
 }
 
-std::optional<peer> source_selector::choose_whole(const std::string& table, instant now) const
+std::optional<peer> source_selector::choose_for_full_read(const std::string& table, instant now) const
 {
-	if (registry_rest(now))
+	if (registry_backoff_until(now))
 	{
 		return choose(table, now);
 	}
-	const auto readers = whole_readers();
-	if (position() < readers)
+	const auto readers = full_reader_count();
+	if (rank() < readers)
 	{
 		return std::nullopt;
 	}
-	// Each reader is found by as many others as its link can serve. Another hash than that of the rank: by
-	// that one, those who are no readers lie all at one end.
-	const auto links = near_links();
-	const auto sum =
+	// Distributes the other VMs over the readers in proportion to the readers' links. The hash differs from
+	// the one of the rank, by which all non-readers lie at one end of the range.
+	const auto links = local_links();
+	const auto total_mbps =
 		std::accumulate(links.begin(), links.begin() + static_cast<std::ptrdiff_t>(readers), 0.0);
-	auto point = unit_of(mix_hash(stable_hash(self_.vm.str()), whole_table_salt)) * sum;
+	auto offset = unit_of(mix_hash(stable_hash(self_.vm.str()), full_read_salt)) * total_mbps;
 	std::size_t first = 0;
-	while (first + 1 < readers && point >= links[first])
+	while (first + 1 < readers && offset >= links[first])
 	{
-		point -= links[first];
+		offset -= links[first];
 		++first;
 	}
 	for (std::size_t i = 0; i < readers; ++i)
@@ -148,74 +150,74 @@
 
 bool source_selector::is_usable(const peer& one, const std::string& table, instant now) const
 {
-	const auto is_old = [&](const std::string& name)
+	const auto is_stale = [&](const std::string& name)
 	{
-		const auto old = old_copies_.find({one.vm, name});
-		return old != old_copies_.end() && old->second > now;
+		const auto stale = stale_copies_.find({one.vm, name});
+		return stale != stale_copies_.end() && stale->second > now;
 	};
-	return !rests(one.vm.str(), now) && !is_old(table) && !is_old(all_tables);
+	return !is_backing_off(one.vm.str(), now) && !is_stale(table) && !is_stale(all_tables);
 }
 
-bool source_selector::reads_itself(const std::string& table, instant now) const
+bool source_selector::should_read_registry(const std::string& table, instant now) const
 {
-	const auto before = std::count_if(peers_.begin(), peers_.end(),
+	const auto preferred = std::count_if(peers_.begin(), peers_.end(),
 		[&](const peer& one)
 		{ return one.domain == self_.domain && ranks_before(one, self_) && is_usable(one, table, now); });
-	return static_cast<std::size_t>(before) < tuning_.readers;
+	return static_cast<std::size_t>(preferred) < tuning_.readers;
 }
 
-std::optional<instant> source_selector::registry_rest(instant now) const
+std::optional<instant> source_selector::registry_backoff_until(instant now) const
 {
-	const auto found = rests_.find(registry_name);
-	const bool is_left = found != rests_.end() && found->second.until > now;
-	return is_left ? std::optional{found->second.until} : std::nullopt;
+	const auto found = backoffs_.find(registry_key);
+	const bool backing_off = found != backoffs_.end() && found->second.until > now;
+	return backing_off ? std::optional{found->second.until} : std::nullopt;
 }
 
-std::size_t source_selector::position() const
+std::size_t source_selector::rank() const
 {
-	const auto before = std::count_if(peers_.begin(), peers_.end(),
+	const auto preferred = std::count_if(peers_.begin(), peers_.end(),
 		[this](const peer& one) { return one.domain == self_.domain && ranks_before(one, self_); });
-	return static_cast<std::size_t>(before);
+	return static_cast<std::size_t>(preferred);
 }
 
 void source_selector::note_unusable(const std::optional<peer>& source, instant now)
 {
-	auto& known = rests_[name_of(source)];
+	auto& known = backoffs_[backoff_key(source)];
 	if (known.until > now)
 	{
 		return;
 	}
-	constexpr unsigned longest_shift = 5;
-	const auto span = tuning_.first_rest * (1U << std::min(known.times, longest_shift));
-	known.until = now + std::min<duration>(span, source ? tuning_.longest_rest : longest_registry_rest());
-	++known.times;
+	constexpr unsigned max_doublings = 5;
+	const auto delay = tuning_.initial_backoff * (1U << std::min(known.failures, max_doublings));
+	known.until = now + std::min<duration>(delay, source ? tuning_.max_backoff : max_registry_backoff());
+	++known.failures;
 }
 
-/// The registry is asked again soon: nothing else is as fresh. Most VMs learn of its return from those before
-/// them, and look themselves only in case they can't.
-duration source_selector::longest_registry_rest() const
+/// The registry is retried soon, as no other source is as fresh. Most VMs learn of its return from VMs of a
+/// higher rank and only retry themselves in case those fail.
+duration source_selector::max_registry_backoff() const
 {
-	return position() < tuning_.scouts ? tuning_.first_rest : tuning_.follower_rest;
+	return rank() < tuning_.fast_retry_vms ? tuning_.initial_backoff : tuning_.slow_retry_backoff;
 }
 
-void source_selector::note_old(const peer& source, const std::string& table, instant now)
+void source_selector::note_stale_copy(const peer& source, const std::string& table, instant now)
 {
-	old_copies_[{source.vm, table}] = now + tuning_.old_copy_rest;
+	stale_copies_[{source.vm, table}] = now + tuning_.stale_copy_backoff;
 }
 
-void source_selector::note_out_of_contact(const peer& source, instant now)
+void source_selector::note_registry_lost(const peer& source, instant now)
 {
-	note_old(source, all_tables, now);
+	note_stale_copy(source, all_tables, now);
 }
 
-void source_selector::note_good(const std::optional<peer>& source)
+void source_selector::note_usable(const std::optional<peer>& source)
 {
-	rests_.erase(name_of(source));
+	backoffs_.erase(backoff_key(source));
 }
 
-bool source_selector::rests(const std::string& name, instant now) const
+bool source_selector::is_backing_off(const std::string& name, instant now) const
 {
-	const auto found = rests_.find(name);
-	return found != rests_.end() && found->second.until > now;
+	const auto found = backoffs_.find(name);
+	return found != backoffs_.end() && found->second.until > now;
 }
 } // namespace gingerdyke::control
--- a/tests/control/shared_store.cpp
+++ b/tests/control/shared_store.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The registry, read through other VMs where that is as good.
+// Reads of the registry through other VMs.
 #include "../support/control_world.hpp"
 
 using namespace gingerdyke;
@@ -7,10 +7,10 @@
 
 namespace
 {
-/// A VM with two others before it in rank, whose copies of the table "t" are old.
-struct world_of_old_copies
+/// A VM of rank 2 whose two preferred sources have stale copies of the table "t".
+struct stale_peers_world
 {
-	explicit world_of_old_copies(shared_store_tuning tuning)
+	explicit stale_peers_world(shared_store_tuning tuning)
 		: store(context, registry, sources, hooks(), std::move(tuning))
 	{
 		std::vector<peer> peers;
@@ -24,27 +24,27 @@
 		sources.set_peers(std::move(peers));
 	}
 
-	~world_of_old_copies()
+	~stale_peers_world()
 	{
 		first_server.stop();
 		second_server.stop();
 	}
 
-	/// The VM reads a table from the registry, which is then followed like any other source.
-	void learn_from_registry(const std::string& table)
+	/// Reads a table from the registry, so that the VM has a copy of it.
+	void read_from_registry(const std::string& table)
 	{
-		sources_rest();
+		back_off_sources();
 		store.read_all(table, [](const store_result<row_batch>&) {});
 		REQUIRE(registry.whole_reads.size() == 1);
 		registry.answer_whole(row_version{9});
 	}
 
-	/// The other VMs are left alone for a moment, so that the registry is asked.
-	void sources_rest()
+	/// Backs off the other VMs for a moment, so that the registry is asked.
+	void back_off_sources()
 	{
 		for (const auto* name : {"peer0", "peer1"})
 		{
-			sources.note_out_of_contact(make_peer(name), proxy::steady_now());
+			sources.note_registry_lost(make_peer(name), proxy::steady_now());
 		}
 	}
 
@@ -56,7 +56,7 @@
 	shared_store_hooks hooks()
 	{
 		auto made = quiet_hooks();
-		made.moved = [this](bool reads_registry) { moves.push_back(reads_registry); };
+		made.moved = [this](bool reads_registry) { role_changes.push_back(reads_registry); };
 		made.vouched = [this](const std::string& table, instant) { vouched.push_back(table); };
 		return made;
 	}
@@ -67,23 +67,23 @@
 	relay_server second_server{context, serving(copy)};
 	source_selector sources{make_peer("vm3")};
 	scripted_store registry;
-	std::vector<bool> moves;
+	std::vector<bool> role_changes;
 	std::vector<std::string> vouched;
 	shared_store store;
 };
 
-/// No test ends because of a wait: it would take hours.
-shared_store_tuning patient_tuning()
+/// Timeouts so long that no test can pass because one expires.
+shared_store_tuning untimed_tuning()
 {
 	shared_store_tuning tuning;
-	tuning.contact_table = "t";
-	tuning.oldest_own = std::chrono::hours{1};
-	tuning.patience = std::chrono::hours{1};
+	tuning.liveness_table = "t";
+	tuning.max_own_copy_age = std::chrono::hours{1};
+	tuning.takeover_wait = std::chrono::hours{1};
 	return tuning;
 }
 } // namespace
 
-TEST_CASE("giving up the registry leaves calls to other VMs alone", "[relay]")
+TEST_CASE("abandoning registry calls does not abandon calls to other VMs", "[relay]")
 {
 	proxy::asio::io_context context{1};
 	auto cache = copy_of_one_row();
@@ -111,14 +111,12 @@
 	server.stop();
 }
 
-TEST_CASE("a VM that knows a table takes the whole of it only from a copy that is fresh", "[relay]")
+TEST_CASE("a VM that has read a table rejects a stale full copy of it", "[relay]")
 {
-	// Symptom: a VM refused requests for a route that a configuration acknowledged 5 s before had brought; 3
-	// s are allowed. Sequence: the registry had been away and had forgotten its history; the VM, told so,
-	// read the whole table again from other VMs, whose copies were 6 to 11 s old, and from the next one when
-	// it noticed, for 6 s, without asking the registry, which answered. Cause: the age of a copy was looked
-	// at where changes were asked for, and not where the whole table was. Settled by the VM's lines "registry
-	// answered from the past" (known 380, newest 235), five times in 1.7 s.
+	// Guards against accepting a stale full table. After an outage in which the registry had discarded its
+	// history, a VM read the full table again from other VMs whose copies were 6 to 11 s old, for 6 s, and
+	// refused requests for a route that a configuration acknowledged 5 s before had added; 3 s are allowed.
+	// The age of a copy was checked for changes only, not for full tables.
 	proxy::asio::io_context context{1};
 	const auto old_copy = copy_of_one_row(seconds{8});
 	relay_server server{context, serving(old_copy)};
@@ -130,12 +128,12 @@
 	scripted_store registry;
 	shared_store store{context, registry, sources, quiet_hooks()};
 
-	// The VM learns the table from the registry first.
+	// The VM first reads the table from the registry.
 	sources.note_unusable(reader, proxy::steady_now());
 	store.read_all("t", [](const store_result<row_batch>&) {});
 	REQUIRE(registry.whole_reads.size() == 1);
 	registry.answer_whole(row_version{9});
-	sources.note_good(reader);
+	sources.note_usable(reader);
 
 	std::optional<store_result<row_batch>> got;
 	store.read_all("t", [&](store_result<row_batch> result) { got = std::move(result); });
@@ -145,51 +143,50 @@
 	server.stop();
 }
 
-TEST_CASE("a VM whose own copy has become old asks the registry, whatever other VMs offer", "[relay]")
+TEST_CASE("a VM whose own copy is overdue asks the registry instead of other VMs", "[relay]")
 {
-	auto tuning = patient_tuning();
-	tuning.oldest_own = duration{0};
-	world_of_old_copies world{tuning};
-	world.learn_from_registry("t");
+	auto tuning = untimed_tuning();
+	tuning.max_own_copy_age = duration{0};
+	stale_peers_world world{tuning};
+	world.read_from_registry("t");
 	world.follow("t", seconds{100});
 	REQUIRE(world.registry.follows.size() == 1);
-	// It has to tell how things are: an answer that is held would come too late.
+	// The registry must answer at once, as a held answer would come too late.
 	CHECK(world.registry.follows.front().wait == duration{0});
 }
 
-TEST_CASE("a VM whose own copy is old leaves a registry alone that has just failed", "[relay]")
+TEST_CASE("a VM whose own copy is overdue respects the registry's backoff", "[relay]")
 {
-	auto tuning = patient_tuning();
-	tuning.oldest_own = duration{0};
-	world_of_old_copies world{tuning};
-	world.learn_from_registry("t");
+	auto tuning = untimed_tuning();
+	tuning.max_own_copy_age = duration{0};
+	stale_peers_world world{tuning};
+	world.read_from_registry("t");
 	world.sources.note_unusable(std::nullopt, proxy::steady_now());
 	world.follow("t", seconds{100});
 	CHECK(world.registry.follows.empty());
 }
 
-TEST_CASE("a VM waits at no source, and for none, past the time at which its own copy is overdue", "[relay]")
+TEST_CASE("no wait lasts beyond the time at which the own copy becomes overdue", "[relay]")
 {
-	// Symptom: a request reached a replica 3.3 s after it had said that it leaves; 3 s are allowed. Sequence:
-	// two sources that had lost the registry each held a poll for 0.9 s, and gave a copy that had grown too
-	// old meanwhile; then the VM waited 0.55 s for another reader; only then the registry was asked. Cause:
-	// the age of the own copy was looked at between waits, not where a wait's length was chosen. Settled by
-	// the VM's lines "source given up" (old copy, 1,981 ms and 2,550 ms) and "reading from" the registry, 2.7
-	// s after its copy of the replicas' table had last been the newest.
-	auto tuning = patient_tuning();
-	tuning.oldest_own = milliseconds{600};
-	tuning.sources_to_follow = 1;
+	// Guards against waits that outlast the freshness of the own copy. Two sources that had lost the registry
+	// each held a poll for 0.9 s and returned a copy that had become stale meanwhile, then the VM waited 0.55
+	// s for another reader; the registry was asked 2.7 s after the VM's copy of the replicas' table had last
+	// been the newest. A request reached a replica 3.3 s after it had announced that it leaves; 3 s are
+	// allowed. The age of the own copy was checked between waits, but did not bound their lengths.
+	auto tuning = untimed_tuning();
+	tuning.max_own_copy_age = milliseconds{600};
+	tuning.max_follow_sources = 1;
 
-	world_of_old_copies world{tuning};
+	stale_peers_world world{tuning};
 	proxy::tcp::acceptor silent{world.context, {proxy::asio::ip::address_v4::loopback(), 0}};
-	world.learn_from_registry("t");
-	SECTION("a source that does not answer")
+	world.read_from_registry("t");
+	SECTION("a source that does not respond")
 	{
 		auto source = make_peer("silent", "a", silent.local_endpoint().port());
 		source.link_mbps = 10;
 		world.sources.set_peers({source});
 	}
-	SECTION("another reader that is to take over") {}
+	SECTION("a takeover by another reader") {}
 	test::run_until(
 		world.context, [&] { return world.sources.choose("t", proxy::steady_now()).has_value(); });
 	world.follow("t", std::chrono::hours{1});
@@ -197,14 +194,14 @@
 	CHECK(world.registry.follows.front().wait == duration{0});
 }
 
-TEST_CASE("while a VM has lost the registry only the contact table's calls look for it", "[relay]")
+TEST_CASE("while the registry is lost only calls for the liveness table retry it", "[relay]")
 {
-	auto tuning = patient_tuning();
-	tuning.oldest_own = duration{0};
-	world_of_old_copies world{tuning};
-	world.learn_from_registry("t");
-	world.learn_from_registry("replicas");
-	world.sources_rest();
+	auto tuning = untimed_tuning();
+	tuning.max_own_copy_age = duration{0};
+	stale_peers_world world{tuning};
+	world.read_from_registry("t");
+	world.read_from_registry("replicas");
+	world.back_off_sources();
 	world.follow("replicas", seconds{100});
 	CHECK(world.registry.follows.empty());
 	world.follow("t", seconds{100});
@@ -212,15 +209,15 @@
 	CHECK(world.registry.follows.front().table == "t");
 }
 
-TEST_CASE("while the registry is left alone, another VM has its time to give a whole table", "[relay]")
+TEST_CASE("during the registry's backoff another VM has the full timeout to return a full table", "[relay]")
 {
-	auto tuning = patient_tuning();
-	tuning.oldest_own = duration{0};
-	tuning.oldest_copy = std::chrono::hours{2};
-	tuning.whole_wait = seconds{15};
-	tuning.sources_to_start = 1;
-	world_of_old_copies world{tuning};
-	world.learn_from_registry("t");
+	auto tuning = untimed_tuning();
+	tuning.max_own_copy_age = duration{0};
+	tuning.max_peer_copy_age = std::chrono::hours{2};
+	tuning.full_read_timeout = seconds{15};
+	tuning.max_full_read_sources = 1;
+	stale_peers_world world{tuning};
+	world.read_from_registry("t");
 	test::run_until(
 		world.context, [&] { return world.sources.choose("t", proxy::steady_now()).has_value(); });
 	world.sources.note_unusable(std::nullopt, proxy::steady_now());
@@ -231,27 +228,27 @@
 	CHECK(got.has_value());
 }
 
-TEST_CASE("a VM that turns to the registry after its sources failed tells that it reads it", "[relay]")
+TEST_CASE("a VM that falls back to the registry after its sources failed reports that it reads it", "[relay]")
 {
-	auto tuning = patient_tuning();
-	tuning.sources_to_follow = 1;
-	tuning.patience = duration{0};
-	world_of_old_copies world{tuning};
-	world.learn_from_registry("t");
+	auto tuning = untimed_tuning();
+	tuning.max_follow_sources = 1;
+	tuning.takeover_wait = duration{0};
+	stale_peers_world world{tuning};
+	world.read_from_registry("t");
 	test::run_until(
 		world.context, [&] { return world.sources.choose("t", proxy::steady_now()).has_value(); });
 	world.follow("t", seconds{100});
 	test::run_until(world.context, [&] { return !world.registry.follows.empty(); });
 	CHECK(world.store.reads_registry("t"));
-	CHECK(world.moves.back());
+	CHECK(world.role_changes.back());
 }
 
-TEST_CASE("an answer about the contact table vouches for tables whose calls wait at the registry", "[relay]")
+TEST_CASE("a response for the liveness table confirms tables whose calls wait at the registry", "[relay]")
 {
-	world_of_old_copies world{patient_tuning()};
-	world.learn_from_registry("replicas");
-	world.learn_from_registry("never followed");
-	world.learn_from_registry("t");
+	stale_peers_world world{untimed_tuning()};
+	world.read_from_registry("replicas");
+	world.read_from_registry("never followed");
+	world.read_from_registry("t");
 	world.follow("replicas", seconds{100});
 	world.follow("t", seconds{100});
 	REQUIRE(world.registry.follows.size() == 2);
--- a/tests/control/source_selector.cpp
+++ b/tests/control/source_selector.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-// Where a VM reads the registry.
+// Selection of the source that a VM reads registry tables from.
 #include "../support/control_world.hpp"
 
 using namespace gingerdyke;
 using namespace gingerdyke::test;
 
-TEST_CASE("the VMs of a failure domain agree on one reader, and on the next where it fails", "[sources]")
+TEST_CASE("the VMs of a failure domain agree on one reader, and on its successor if it fails", "[sources]")
 {
 	const std::vector<peer> all{make_peer("vm1"), make_peer("vm2"), make_peer("vm3"), make_peer("vm4")};
 	std::vector<std::pair<std::string, source_selector>> selectors;
@@ -40,20 +40,20 @@
 	CHECK(next != reader);
 }
 
-TEST_CASE(
-	"a VM that the registry turns away reads another VM's copy, of its own failure domain first", "[sources]")
+TEST_CASE("a VM that cannot reach the registry falls back to a VM of another failure domain", "[sources]")
 {
-	source_selector alone{make_peer("vm1")};
-	CHECK_FALSE(alone.choose("t", start));
-	alone.set_peers({make_peer("far", "b")});
-	CHECK_FALSE(alone.choose("t", start));
-	alone.note_unusable(std::nullopt, start);
-	REQUIRE(alone.choose("t", start));
-	CHECK(alone.choose("t", start)->vm.str() == "far");
-	CHECK_FALSE(alone.choose("t", start + seconds{3}));
+	source_selector selector{make_peer("vm1")};
+	CHECK_FALSE(selector.choose("t", start));
+	selector.set_peers({make_peer("far", "b")});
+	CHECK_FALSE(selector.choose("t", start));
+	selector.note_unusable(std::nullopt, start);
+	REQUIRE(selector.choose("t", start));
+	CHECK(selector.choose("t", start)->vm.str() == "far");
+	CHECK_FALSE(selector.choose("t", start + seconds{3}));
 }
 
-TEST_CASE("a VM with an old copy of one table is soon asked again, and for other tables at once", "[sources]")
+TEST_CASE(
+	"a VM with a stale copy of one table is retried soon, and remains a source of other tables", "[sources]")
 {
 	source_selector second{make_peer("vm2")};
 	const auto first = make_peer("vm1");
@@ -63,12 +63,12 @@
 	REQUIRE(second.choose("t", start));
 	for (int i = 0; i < 10; ++i)
 	{
-		second.note_old(large, "t", start);
+		second.note_stale_copy(large, "t", start);
 	}
 	CHECK_FALSE(second.choose("t", start));
 	CHECK(second.choose("other", start));
 	CHECK(second.choose("t", start + milliseconds{500}));
-	second.note_out_of_contact(large, start + seconds{1});
+	second.note_registry_lost(large, start + seconds{1});
 	CHECK_FALSE(second.choose("other", start + seconds{1}));
 	CHECK(second.choose("other", start + seconds{2}));
 	for (int i = 0; i < 10; ++i)
@@ -78,7 +78,7 @@
 	CHECK_FALSE(second.choose("other", start + seconds{900} + milliseconds{600}));
 }
 
-TEST_CASE("a VM that reads through another one is left for a reader, longer each time", "[sources]")
+TEST_CASE("a source marked unusable is backed off exponentially until it succeeds", "[sources]")
 {
 	source_selector second{make_peer("vm2")};
 	auto first = make_peer("vm1");
@@ -89,12 +89,11 @@
 	CHECK(second.choose("t", start + milliseconds{600}));
 	second.note_unusable(first, start + milliseconds{600});
 	CHECK_FALSE(second.choose("t", start + milliseconds{1500}));
-	second.note_good(first);
+	second.note_usable(first);
 	CHECK(second.choose("t", start + milliseconds{1500}));
 }
 
-TEST_CASE(
-	"a lost registry is looked for by a few VMs often, by the others seldom but within 1.25 s", "[sources]")
+TEST_CASE("a few VMs retry a lost registry every 0.5 s, the others every 1.25 s", "[sources]")
 {
 	std::vector<peer> all;
 	for (unsigned i = 0; i < 6; ++i)
@@ -102,7 +101,7 @@
 		all.push_back(make_peer(("vm" + std::to_string(i)).c_str()));
 		all.back().link_mbps = 100 - i;
 	}
-	const auto is_left_after = [&](std::size_t rank, duration span)
+	const auto is_backing_off_after = [&](std::size_t rank, duration span)
 	{
 		source_selector selector{all[rank]};
 		selector.set_peers(all);
@@ -112,13 +111,13 @@
 			now += seconds{10};
 			selector.note_unusable(std::nullopt, now);
 		}
-		return selector.registry_rest(now + span).has_value();
+		return selector.registry_backoff_until(now + span).has_value();
 	};
-	CHECK(is_left_after(1, milliseconds{499}));
-	CHECK_FALSE(is_left_after(1, milliseconds{500}));
-	CHECK(is_left_after(2, milliseconds{1249}));
-	CHECK_FALSE(is_left_after(2, milliseconds{1250}));
-	CHECK_FALSE(is_left_after(5, milliseconds{1250}));
+	CHECK(is_backing_off_after(1, milliseconds{499}));
+	CHECK_FALSE(is_backing_off_after(1, milliseconds{500}));
+	CHECK(is_backing_off_after(2, milliseconds{1249}));
+	CHECK_FALSE(is_backing_off_after(2, milliseconds{1250}));
+	CHECK_FALSE(is_backing_off_after(5, milliseconds{1250}));
 }
 
 TEST_CASE("the VM with the largest link reads the registry for its failure domain", "[sources]")
@@ -137,7 +136,7 @@
 
 namespace
 {
-/// VMs of one failure domain with links alike, and some of another one.
+/// VMs of one failure domain with equal links, and one VM of another failure domain.
 std::vector<peer> large_domain(std::size_t count)
 {
 	std::vector<peer> peers;
@@ -150,8 +149,8 @@
 }
 } // namespace
 
-TEST_CASE("after a loss of all a few VMs of a failure domain read whole tables, the others spread over them",
-	"[sources]")
+TEST_CASE(
+	"a few VMs of a failure domain read full tables and the others are distributed over them", "[sources]")
 {
 	constexpr std::size_t count = 60;
 	const auto peers = large_domain(count);
@@ -161,7 +160,7 @@
 	{
 		source_selector one{peers[i]};
 		one.set_peers(peers);
-		const auto source = one.choose_whole("t", start);
+		const auto source = one.choose_for_full_read("t", start);
 		if (!source)
 		{
 			++readers;
@@ -179,7 +178,7 @@
 	}
 }
 
-TEST_CASE("where few VMs have large links, those read whole tables for the others", "[sources]")
+TEST_CASE("VMs with large links read full tables for the others", "[sources]")
 {
 	auto peers = large_domain(60);
 	peers[7].link_mbps = 200;
@@ -192,13 +191,13 @@
 		}
 		source_selector one{self};
 		one.set_peers(peers);
-		const auto source = one.choose_whole("t", start);
+		const auto source = one.choose_for_full_read("t", start);
 		CHECK(source.has_value() == (self.link_mbps == 0));
 		CHECK((!source || source->link_mbps == 200));
 	}
 }
 
-TEST_CASE("who gives no whole table is passed over, and a lost registry is not asked", "[sources]")
+TEST_CASE("choose_for_full_read skips unusable readers and a registry in backoff", "[sources]")
 {
 	const auto peers = large_domain(16);
 	std::optional<peer> last;
@@ -206,20 +205,20 @@
 	{
 		source_selector one{self};
 		one.set_peers(peers);
-		const auto first = one.choose_whole("t", start);
+		const auto first = one.choose_for_full_read("t", start);
 		if (!first || self.domain.str() != "a")
 		{
 			continue;
 		}
 		last = self;
 		one.note_unusable(first, start);
-		const auto second = one.choose_whole("t", start);
+		const auto second = one.choose_for_full_read("t", start);
 		REQUIRE(second);
 		CHECK(second->vm != first->vm);
 	}
 	REQUIRE(last);
-	source_selector cut_off{*last};
-	cut_off.set_peers(peers);
-	cut_off.note_unusable(std::nullopt, start);
-	CHECK(cut_off.choose_whole("t", start));
+	source_selector without_registry{*last};
+	without_registry.set_peers(peers);
+	without_registry.note_unusable(std::nullopt, start);
+	CHECK(without_registry.choose_for_full_read("t", start));
 }
