--- a/include/gingerdyke/control/coordinator.hpp
+++ b/include/gingerdyke/control/coordinator.hpp
@@ -132,7 +132,7 @@
 	void on_written(store_result<change_result> answer);
 
 	// What VMs that read through each other tell one another.
-	void on_vouched(const std::string& table, instant newest_at);
+	void on_copy_confirmed(const std::string& table, instant newest_at);
 	[[nodiscard]] shared_store_tuning sharing_tuning() const;
 	[[nodiscard]] shared_store_hooks store_hooks();
 	[[nodiscard]] relay_server_hooks server_hooks();
--- a/include/gingerdyke/control/shared_store.hpp
+++ b/include/gingerdyke/control/shared_store.hpp
@@ -66,11 +66,11 @@
 	std::function<void(const peer_summary&)> summary_received;
 
 	/// Called when this VM starts or stops reading the liveness table from the registry itself.
-	std::function<void(bool reads_registry)> moved;
+	std::function<void(bool reads_registry)> reader_role_changed;
 
 	/// Called when the copy of a table is known to have been the newest at a moment: a call for its changes
 	/// is waiting at the registry, and the registry answered another call meanwhile.
-	std::function<void(const std::string& table, instant newest_at)> vouched;
+	std::function<void(const std::string& table, instant newest_at)> copy_confirmed;
 };
 
 /// \brief A `row_store` that reads from the registry or another VM's copy, and writes to the registry.
--- a/include/gingerdyke/control/source_selector.hpp
+++ b/include/gingerdyke/control/source_selector.hpp
@@ -19,7 +19,7 @@
 {
 	vm_id vm;
 	failure_domain_id domain;
-	routing::address at;
+	routing::address address;
 
 	/// Bandwidth of the VM's network link, in Mbit/s; a reader sends every change to all VMs of its failure
 	/// domain.
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -90,7 +90,7 @@
 
 proxy::error_code coordinator::start()
 {
-	const auto error = relay_.listen(self_.at);
+	const auto error = relay_.listen(self_.address);
 	if (!error)
 	{
 		own_.start();
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -18,7 +18,7 @@
 	shared_store_hooks hooks;
 	hooks.report = [this](const std::string& table) { return report_with(table); };
 	hooks.summary_received = [this](const peer_summary& summary) { on_summary(summary); };
-	hooks.moved = [this](bool reads_registry)
+	hooks.reader_role_changed = [this](bool reads_registry)
 	{
 		gateway_.versions().note_reads_registry(reads_registry);
 		reads_registry_ = reads_registry;
@@ -27,11 +27,12 @@
 		follow_evidence();
 		arm();
 	};
-	hooks.vouched = [this](const std::string& table, instant newest_at) { on_vouched(table, newest_at); };
+	hooks.copy_confirmed = [this](const std::string& table, instant newest_at)
+	{ on_copy_confirmed(table, newest_at); };
 	return hooks;
 }
 
-void coordinator::on_vouched(const std::string& table, instant newest_at)
+void coordinator::on_copy_confirmed(const std::string& table, instant newest_at)
 {
 	if (auto* follower = follower_of(table))
 	{
--- a/src/control/own_rows.cpp
+++ b/src/control/own_rows.cpp
@@ -144,7 +144,7 @@
 
 std::string write_vm(const peer& vm)
 {
-	return json{{"vm", vm.vm.str()}, {"domain", vm.domain.str()}, {"address", vm.at.str()},
+	return json{{"vm", vm.vm.str()}, {"domain", vm.domain.str()}, {"address", vm.address.str()},
 		{"link_mbps", vm.link_mbps}}
 		.dump();
 }
--- a/src/control/relay_client.cpp
+++ b/src/control/relay_client.cpp
@@ -46,10 +46,10 @@
 void relay_client::connect()
 {
 	proxy::error_code error;
-	const auto ip = proxy::asio::ip::make_address_v4(to_.at.ip, error);
+	const auto ip = proxy::asio::ip::make_address_v4(to_.address.ip, error);
 	if (error)
 	{
-		log::write(log::level::error, "relay: invalid peer address", {{"address", to_.at.str()}});
+		log::write(log::level::error, "relay: invalid peer address", {{"address", to_.address.str()}});
 		return;
 	}
 	frame_link_hooks hooks;
@@ -68,7 +68,7 @@
 		}
 	};
 	connection_ = std::make_shared<frame_link>(proxy::tcp::socket{context_}, std::move(hooks));
-	connection_->connect({ip, to_.at.port});
+	connection_->connect({ip, to_.address.port});
 	start_connect_timeout();
 }
 
--- a/src/control/shared_store.cpp
+++ b/src/control/shared_store.cpp
@@ -214,7 +214,7 @@
 		if (name != table && state.newest_at && was_waiting)
 		{
 			note_newest(name, newest_at);
-			hooks_.vouched(name, newest_at);
+			hooks_.copy_confirmed(name, newest_at);
 		}
 	}
 }
@@ -310,7 +310,7 @@
 		{{"table", table}, {"source", source ? source->vm.str() : "registry"}});
 	if (table == tuning_.liveness_table)
 	{
-		hooks_.moved(!source);
+		hooks_.reader_role_changed(!source);
 	}
 }
 
--- a/tests/control/shared_store.cpp
+++ b/tests/control/shared_store.cpp
@@ -18,7 +18,7 @@
 		{
 			auto one = make_peer(("peer" + std::to_string(peers.size())).c_str(), "a", free_port(context));
 			one.link_mbps = 10;
-			REQUIRE_FALSE(server->listen(one.at));
+			REQUIRE_FALSE(server->listen(one.address));
 			peers.push_back(one);
 		}
 		sources.set_peers(std::move(peers));
@@ -56,8 +56,9 @@
 	shared_store_hooks hooks()
 	{
 		auto made = quiet_hooks();
-		made.moved = [this](bool reads_registry) { role_changes.push_back(reads_registry); };
-		made.vouched = [this](const std::string& table, instant) { vouched.push_back(table); };
+		made.reader_role_changed = [this](bool reads_registry) { role_changes.push_back(reads_registry); };
+		made.copy_confirmed = [this](const std::string& table, instant)
+		{ confirmed_tables.push_back(table); };
 		return made;
 	}
 
@@ -68,7 +69,7 @@
 	source_selector sources{make_peer("vm3")};
 	scripted_store registry;
 	std::vector<bool> role_changes;
-	std::vector<std::string> vouched;
+	std::vector<std::string> confirmed_tables;
 	shared_store store;
 };
 
@@ -90,7 +91,7 @@
 	relay_server server{context, serving(cache)};
 	auto reader = make_peer("reader", "a", free_port(context));
 	reader.link_mbps = 10;
-	REQUIRE_FALSE(server.listen(reader.at));
+	REQUIRE_FALSE(server.listen(reader.address));
 	source_selector sources{make_peer("vm2")};
 	sources.set_peers({reader});
 	scripted_store registry;
@@ -122,7 +123,7 @@
 	relay_server server{context, serving(old_copy)};
 	auto reader = make_peer("reader", "a", free_port(context));
 	reader.link_mbps = 10;
-	REQUIRE_FALSE(server.listen(reader.at));
+	REQUIRE_FALSE(server.listen(reader.address));
 	source_selector sources{make_peer("vm2")};
 	sources.set_peers({reader});
 	scripted_store registry;
@@ -255,5 +256,5 @@
 	row_batch none;
 	none.newest = row_version{9};
 	world.registry.follows.back().done(none);
-	CHECK(world.vouched == std::vector<std::string>{"replicas"});
+	CHECK(world.confirmed_tables == std::vector<std::string>{"replicas"});
 }
--- a/tests/support/control_world.hpp
+++ b/tests/support/control_world.hpp
@@ -140,8 +140,8 @@
 	shared_store_hooks hooks;
 	hooks.report = [](const std::string&) { return std::nullopt; };
 	hooks.summary_received = [](const peer_summary&) {};
-	hooks.moved = [](bool) {};
-	hooks.vouched = [](const std::string&, instant) {};
+	hooks.reader_role_changed = [](bool) {};
+	hooks.copy_confirmed = [](const std::string&, instant) {};
 	return hooks;
 }
 
