--- a/include/gingerdyke/control/coordinator.hpp
+++ b/include/gingerdyke/control/coordinator.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Connects the registry to the data path: configuration, replicas and version shifts in, plans and evidence
-// out.
+// Connects the registry to the data path: applies configuration, replicas and version shifts, and writes
+// plans and evidence.
 #pragma once
 
 #include <gingerdyke/base/suspension_watch.hpp>
@@ -14,97 +14,98 @@
 
 namespace gingerdyke::control
 {
-/// \brief How the platform lays out what the coordinator reads and writes; the adapter's part.
+/// \brief Layout of the registry tables that the coordinator reads and writes, defined by the platform
+/// adapter.
 struct registry_layout
 {
-	/// Table of what operators write: the configuration and orders to shift versions.
+	/// Table written by operators: the configuration and orders to shift versions.
 	std::string operator_table;
 
 	/// Table in which replicas register.
 	std::string replica_table;
 
-	/// Table of our own: the VMs, and the plans of version shifts.
+	/// The router's own table: VMs, plans of version shifts and suspected requests.
 	std::string own_table;
 
-	/// Table of our own: what VMs saw of new versions. It changes often, and only the VMs that read the
+	/// The router's table of evidence on new versions, by VM. It changes often, and only VMs that read the
 	/// registry for others need it.
 	std::string evidence_table;
 
-	/// What a row of the operators' table says.
+	/// Content of a row of the operators' table.
 	using operator_news = std::variant<std::monostate, routing::catalog_ptr, rollout::shift_order>;
 
-	/// Reads a row of the operators' table; findings where it can't be understood.
+	/// Decodes a row of the operators' table; findings if the row is malformed.
 	std::function<checked<operator_news>(const row&)> read_operator_row;
 
-	/// The failure domain that a row of the operators' table orders to evacuate for as long as the row is
-	/// there; none: it is another row.
+	/// Returns the failure domain whose evacuation a row of the operators' table orders for as long as the
+	/// row exists; none if the key belongs to another kind of row.
 	std::function<std::optional<failure_domain_id>(const std::string& key)> evacuated_domain;
 
-	/// Reads a row of the replicas' table.
+	/// Decodes a row of the replicas' table.
 	std::function<checked<routing::replica>(const row&)> read_replica_row;
 
-	/// Fields of a row of the replicas' table that are not known.
+	/// Returns the unknown fields of a row of the replicas' table.
 	std::function<std::vector<std::string>(const row&)> unknown_replica_fields;
 
-	/// The row in which operators look up how a shift stands.
+	/// Returns the row that shows operators the state of a shift.
 	std::function<row_change::put(const rollout::shift_plan&)> status_row;
 };
 
-/// \brief Tuning of `coordinator`; waits are those of calls to the registry.
+/// \brief Tuning of `coordinator`. Waits are those of long polls.
 struct coordinator_tuning
 {
-	/// The configuration is asked for this often even without news: others read it through this VM, and have
-	/// to notice in time that this VM has lost the registry. For a limit of 2 s; see `tuning_for`.
-	duration operator_wait = std::chrono::milliseconds{700};
+	/// Wait of polls for the operators' table. It bounds how long this VM, which other VMs may read through,
+	/// takes to notice that it has lost the registry. For a limit of 2 s; see `tuning_for`.
+	duration operator_poll_wait = std::chrono::milliseconds{700};
 
-	/// The replicas' table: news comes at once, but for an answer that is lost on its way. As long as that
-	/// stays unnoticed, requests go to replicas that leave; see `tuning_for`.
-	duration replica_wait = std::chrono::milliseconds{2400};
+	/// Wait of polls for the replicas' table. Changes arrive at once unless a response is lost; until the
+	/// loss is noticed, requests are sent to replicas that leave. See `tuning_for`.
+	duration replica_poll_wait = std::chrono::milliseconds{2400};
 
-	/// Our own rows: news comes at once all the same.
-	duration other_wait = std::chrono::seconds{4};
+	/// Wait of polls for the router's own table; changes arrive at once all the same.
+	duration own_poll_wait = std::chrono::seconds{4};
 
-	/// Evidence, which is rare: a call that waits longer costs less.
-	duration evidence_wait = std::chrono::seconds{10};
+	/// Wait of polls for the evidence table; evidence is rare, and a longer wait means fewer calls.
+	duration evidence_poll_wait = std::chrono::seconds{10};
 
-	/// A VM reads the registry for this long before it follows evidence: many do so for a moment only, while
-	/// another reader takes over.
+	/// Time for which a VM has to read the registry before it follows the evidence table; many VMs read the
+	/// registry only briefly, until another reader takes over.
 	duration evidence_delay = std::chrono::milliseconds{1500};
 
-	/// Changes of replicas are gathered this long, so that many at once cost one call.
+	/// Delay that collects changes of replicas, so that many at once cost one call.
 	duration batch_delay = std::chrono::milliseconds{150};
 
-	/// How it reads through other VMs.
+	/// Tuning of reads through other VMs.
 	shared_store_tuning sharing;
 
-	/// A VM that could not register tries again after this time.
-	duration register_again = std::chrono::milliseconds{700};
+	/// Delay before a failed registration is retried.
+	duration register_retry_delay = std::chrono::milliseconds{700};
 };
 
-/// \brief Tuning for a deployment.
-/// \param news_limit A change of the configuration is to be in force everywhere within this time, and
-/// nothing is to be sent later to a replica that leaves. The shorter, the more calls to the registry.
+/// \brief Returns the tuning for a deployment.
+/// \param news_limit Time within which a change of the configuration has to be in force on all VMs, and after
+/// which no request is sent to a replica that leaves. A shorter limit means more calls to the registry.
 [[nodiscard]] coordinator_tuning tuning_for(duration news_limit);
 
-/// \brief Follows the registry for a gateway, itself or through another VM, and lets other VMs do so.
+/// \brief Follows the registry for a gateway, directly or through another VM, and serves it to other VMs.
 class coordinator
 {
   public:
-	/// \param self This VM as others reach it.
+	/// \param self This VM, as other VMs reach it.
 	/// \param reporter Name under which this VM reports evidence: its name and incarnation.
 	coordinator(proxy::gateway& gateway, row_store& registry, registry_layout layout, peer self,
 		std::string reporter, const random_source& random, coordinator_tuning tuning = {});
 
-	/// \brief Begins to listen for other VMs and to follow the registry.
-	/// \returns What stands against listening; none where all is well.
+	/// \brief Starts to listen for other VMs and to follow the registry.
+	/// \returns The error that prevents listening; none on success.
 	[[nodiscard]] proxy::error_code start();
 	void stop();
 
-	/// \brief To be called after requests have brought evidence: sets the next moment to write.
+	/// \brief Schedules the next write; to be called after requests have added evidence.
 	void arm();
 
-	/// \brief To be called after a replica ended under requests.
-	void on_suspicion() { suspects_.arm(); }
+	/// \brief To be called after a replica terminated during requests.
+	void on_suspicion() { suspect_rows_.arm(); }
 
   private:
 	void on_operator_table(const std::vector<row>& rows);
@@ -112,7 +113,6 @@
 	void on_operator_row(const row& one);
 	void on_replica_rows(const std::vector<row>& rows);
 	void on_replicas(const std::vector<row>& rows);
-	/// Replicas that rows name, and the ids of rows that can't be read.
 	void note_unknown_fields(const row& one);
 	[[nodiscard]] std::optional<routing::replica> read_replica(const row& one) const;
 	void on_own_rows(const std::vector<row>& rows);
@@ -121,72 +121,72 @@
 	void on_evidence_rows(const std::vector<row>& rows);
 	void on_evidence_row(const row& one);
 	void on_vm_row(const row& one);
-	void note_vms();
+	void publish_vms();
 	void register_self();
-	void start_rest();
+	void start_remaining_followers();
 	[[nodiscard]] table_follower* follower_of(const std::string& table);
-	void take_catalog(const routing::catalog_ptr& catalog);
+	void apply_catalog(const routing::catalog_ptr& catalog);
 	void expire_replicas();
-	void write_due();
+	void write_due_changes();
 	void write(const rollout::shift_write& what);
 	void on_written(store_result<change_result> answer);
 
-	// What VMs that read through each other tell one another.
+	// Exchange with other VMs.
 	void on_copy_confirmed(const std::string& table, instant newest_at);
 	[[nodiscard]] shared_store_tuning sharing_tuning() const;
 	[[nodiscard]] shared_store_hooks store_hooks();
 	[[nodiscard]] relay_server_hooks server_hooks();
-	[[nodiscard]] std::optional<peer_report> report_with(const std::string& table) const;
-	void on_report(const peer_report& report);
+	[[nodiscard]] std::optional<peer_report> make_report(const std::string& table) const;
+	void on_peer_report(const peer_report& report);
 	[[nodiscard]] peer_summary summary_for(const std::string& reporter);
-	void on_summary(const peer_summary& summary);
-	void note_suspension();
+	void on_peer_summary(const peer_summary& summary);
+	void check_machine_suspension();
 	void apply_limits(const std::vector<routing::limit_news>& limits);
-	void take_suspects(const std::vector<quarantine::suspicion>& suspects);
-	void take_suspensions(const std::vector<rollout::shift_suspension>& suspended);
-	void note_work_of_others(std::vector<routing::replica_work> work);
+	void apply_suspects(const std::vector<quarantine::suspicion>& suspects);
+	void apply_suspensions(const std::vector<rollout::shift_suspension>& suspended);
+	void update_remote_work(std::vector<routing::replica_work> work);
 
 	proxy::gateway& gateway_;
 	registry_layout layout_;
 	peer self_;
 	std::string reporter_;
 	coordinator_tuning tuning_;
-	source_selector sources_;
-	shared_store store_;
-	relay_server relay_;
+	source_selector source_selector_;
+	shared_store shared_store_;
+	relay_server relay_server_;
 	report_board reports_;
-	suspect_rows suspects_;
-	suspension_watch suspensions_;
+	suspect_rows suspect_rows_;
+	suspension_watch suspension_watch_;
 	std::map<vm_id, peer> vms_;
 	proxy::boot_timer register_timer_;
 	proxy::boot_timer write_timer_;
 	proxy::boot_timer expire_timer_;
 	proxy::boot_timer evidence_timer_;
-	table_follower operators_;
-	table_follower replicas_;
-	table_follower own_;
-	table_follower evidence_;
-	bool rest_started_ = false;
-	bool looked_for_self_ = false;
+	table_follower operator_follower_;
+	table_follower replica_follower_;
+	table_follower own_follower_;
+	table_follower evidence_follower_;
+	bool remaining_followers_started_ = false;
+	bool registration_checked_ = false;
 	bool reads_registry_ = false;
 	bool follows_evidence_ = false;
 };
 
-/// \brief Writes a plan as the value of its row.
+/// \brief Encodes a plan as the value of its row.
 [[nodiscard]] std::string write_plan(const rollout::shift_plan& plan);
 
-/// \brief Reads a plan; findings where the value is none.
+/// \brief Decodes a plan; findings if the value is malformed.
 [[nodiscard]] checked<rollout::shift_plan> read_plan(const row& from);
 
-/// \brief Writes evidence as the value of its row.
+/// \brief Encodes evidence as the value of its row.
 [[nodiscard]] std::string write_evidence(const rollout::shift_evidence& evidence);
 
-/// \brief Writes a VM as the value of its row.
+/// \brief Encodes a VM as the value of its row.
 [[nodiscard]] std::string write_vm(const peer& vm);
 
-/// \brief Reads a VM; findings where the value is none.
+/// \brief Decodes a VM; findings if the value is malformed.
 [[nodiscard]] checked<peer> read_vm(const row& from);
 
-/// \brief Reads evidence; findings where the value is none.
+/// \brief Decodes evidence; findings if the value is malformed.
 [[nodiscard]] checked<rollout::shift_evidence> read_evidence(const row& from);
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/shared_store.hpp
+++ b/include/gingerdyke/control/shared_store.hpp
@@ -15,8 +15,8 @@
 	std::string liveness_table;
 
 	/// Maximum age of another VM's copy of any table; beyond it that VM may have lost the registry. A reader
-	/// polls the registry with a wait of `coordinator_tuning::operator_wait`, and each response confirms its
-	/// copy; the rest of the required 2 s remains for learning of a change.
+	/// polls the registry with a wait of `coordinator_tuning::operator_poll_wait`, and each response confirms
+	/// its copy; the rest of the required 2 s remains for learning of a change.
 	duration max_peer_copy_age = std::chrono::milliseconds{1100};
 
 	/// Once this VM's copy of a table is this old, it asks the registry whatever other VMs offer. Trying a
--- a/include/gingerdyke/control/suspect_rows.hpp
+++ b/include/gingerdyke/control/suspect_rows.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Requests under which replicas ended, in the registry: one row for each, read by all VMs. So they are known
-// to VMs of other failure domains, and after all VMs were lost.
+// Stores requests during which replicas terminated in the registry, one row each, read by all VMs. They are
+// thereby known to VMs of other failure domains and survive a restart of all VMs.
 #pragma once
 
 #include <gingerdyke/base/finding.hpp>
@@ -15,72 +15,74 @@
 
 namespace gingerdyke::control
 {
-/// Beginning of the keys of these rows.
+/// Key prefix of these rows.
 inline constexpr std::string_view suspect_prefix = "suspect/";
 
-/// \brief A suspicion as its row tells it.
+/// \brief A suspicion as stored in its row.
 struct stored_suspicion
 {
 	quarantine::suspicion known;
 
-	/// When a replica last ended under the request.
+	/// When a replica last terminated during the request.
 	registry_time last_end{};
 };
 
-/// \brief Writes a suspicion as the value of its row.
+/// \brief Encodes a suspicion as the value of its row.
 [[nodiscard]] std::string write_suspicion(const stored_suspicion& what);
 
-/// \brief Reads a suspicion; findings where the value is none.
+/// \brief Decodes a suspicion; findings if the value is malformed.
 [[nodiscard]] checked<stored_suspicion> read_suspicion(const row& from);
 
 /// \brief Tuning of `suspect_rows`.
 struct suspect_rows_tuning
 {
-	/// News is gathered for this long: one end brings one write for all requests that stood beside it.
-	/// Knowledge must be everywhere within the users' 3 s; a report takes 0.2 s and a feed as long.
+	/// Delay that collects changes, so that one termination causes one write for all requests that were in
+	/// progress on the replica. Suspicions have to reach all VMs within the required 3 s; a report and a
+	/// change feed take 0.2 s each.
 	duration batch_delay = std::chrono::milliseconds{200};
 
-	/// A write that failed is made again after this time.
-	duration again = std::chrono::milliseconds{700};
+	/// Delay before a failed write is retried.
+	duration retry_delay = std::chrono::milliseconds{700};
 
-	/// Rows are removed once nothing is forgotten any more by them.
+	/// Age at which rows are removed, since the list ignores them from then on.
 	duration lifetime = quarantine::suspect_tuning{}.lifetime;
 
-	/// Rows written, or removed, in one change: it has 100 entries at most, and each row takes two of them,
-	/// its condition and itself. A larger change is refused as a whole, and nothing would be stored.
-	std::size_t most_rows = 50;
+	/// Maximum number of rows written or removed in one transaction. The registry rejects transactions of
+	/// more than 100 entries as a whole, and each row takes two: its condition and its change.
+	std::size_t max_rows_per_change = 50;
 };
 
-/// \brief Keeps the rows and the list of suspects in step.
+/// \brief Synchronizes the list of suspects with its registry rows.
 class suspect_rows
 {
   public:
 	suspect_rows(proxy::asio::io_context& context, row_store& registry, quarantine::suspect_list& suspects,
 		std::string table, suspect_rows_tuning tuning = {});
 
-	/// \brief Takes a row that changed or went.
+	/// \brief Applies a row that changed or was removed.
 	void on_row(const row& one, instant now);
 
-	/// \brief Notes the registry's clock. Rows that came before it was known are taken now.
+	/// \brief Records the registry's clock and applies the rows that arrived before it was known.
 	void note_registry_time(registry_time at, instant now);
 
-	/// \brief Notes whether this VM reads the registry for others.
+	/// \brief Records whether this VM reads the registry for others.
 	void note_reads_registry(bool reads_registry) { reads_registry_ = reads_registry; }
 
-	/// \brief To be called when the list has news: sets the moment to write them.
+	/// \brief Schedules a write; to be called when the list has changes to store.
 	void arm();
 	void stop();
 
   private:
-	void arm_after(duration pause);
+	void write_after(duration pause);
 	void write();
-	[[nodiscard]] row_change change_for(const std::vector<quarantine::suspicion>& news, instant now) const;
-	[[nodiscard]] row_change::condition unchanged(const std::string& key) const;
+	[[nodiscard]] row_change make_change(
+		const std::vector<quarantine::suspicion>& to_store, instant now) const;
+	[[nodiscard]] row_change::condition unchanged_condition(const std::string& key) const;
 	void on_written(const std::vector<quarantine::suspicion>& written, const row_change& change,
 		const store_result<change_result>& answer);
-	void on_changed_meanwhile(const row_change& tried, const std::vector<row>& present, instant now);
-	void remove_old(instant now);
-	void take(const row& one, instant now);
+	void on_conflict(const row_change& attempted, const std::vector<row>& current_rows, instant now);
+	void remove_expired(instant now);
+	void apply_row(const row& one, instant now);
 
 	row_store& registry_;
 	quarantine::suspect_list& suspects_;
@@ -88,23 +90,23 @@
 	suspect_rows_tuning tuning_;
 	proxy::boot_timer timer_;
 
-	/// The registry's clock less this VM's; none: not known yet.
-	std::optional<duration> offset_;
+	/// Offset of the registry's clock from this VM's; none if not known yet.
+	std::optional<duration> registry_clock_offset_;
 
-	/// Rows that came before the registry's clock was known.
-	std::vector<row> early_;
+	/// Rows that arrived before the registry's clock was known.
+	std::vector<row> rows_before_clock_;
 
 	struct known_row
 	{
 		row_version version{};
 
-		/// The last end that it tells of; none: it can't be read.
+		/// When a replica last terminated during the request; none if the row is malformed.
 		std::optional<instant> last_end;
 	};
 
-	/// The rows as this VM saw them last. Each is written on the condition that it is still the same: else
-	/// ends that another VM stored a moment ago would be lost, and after a loss of all VMs two ends of three
-	/// known.
+	/// The rows as last seen by this VM. Each write is conditional on the row being unchanged; otherwise
+	/// terminations stored by another VM a moment ago would be overwritten, and after a restart of all VMs
+	/// fewer of them would be known.
 	std::map<std::string, known_row> rows_;
 	bool reads_registry_ = false;
 	bool is_armed_ = false;
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Connects the registry to the data path: tables in, plans out. What VMs tell one another is in
+// Connects the registry to the data path: applies tables and writes plans. The exchange with other VMs is in
 // coordinator_peers.cpp.
 #include <gingerdyke/control/coordinator.hpp>
 #include <gingerdyke/log/log.hpp>
@@ -8,8 +8,8 @@
 {
 namespace
 {
-const std::string plan_prefix = "plan/";
-const std::string vm_prefix = "vm/";
+const std::string plan_key_prefix = "plan/";
+const std::string vm_key_prefix = "vm/";
 
 void log_findings(const char* what, const findings& list)
 {
@@ -22,49 +22,50 @@
 
 coordinator_tuning tuning_for(duration news_limit)
 {
-	// A reader's call, and how old its copy may be, which leaves it half of that for the answer. The rest is
-	// for learning of a change elsewhere, and its last part for the registry's own answer.
-	constexpr double wait_share = 0.35;
-	constexpr double copy_share = 0.55;
-	constexpr double own_share = 0.75;
-	// A lost answer of the registry is noticed after this and the time limit of an answer: the users count a
-	// VM as in touch again 3 s after, and allow 2 s from there.
-	constexpr double replica_share = 1.2;
+	// Shares of `news_limit`: the wait of a reader's poll, the maximum age of another VM's copy and that of
+	// the own copy. The second exceeds the first by the time for the reader's response; the rest of the limit
+	// is for learning of a change from another VM, its last part for the registry's own response.
+	constexpr double poll_wait_ratio = 0.35;
+	constexpr double peer_copy_ratio = 0.55;
+	constexpr double own_copy_ratio = 0.75;
+	// A lost response of the registry is noticed after this wait plus the response timeout. A VM counts as in
+	// contact with the registry again 3 s after an outage, and a further 2 s are allowed from there.
+	constexpr double replica_wait_ratio = 1.2;
 	coordinator_tuning tuning;
-	tuning.operator_wait = scaled(news_limit, wait_share);
-	tuning.replica_wait = scaled(news_limit, replica_share);
-	tuning.sharing.max_peer_copy_age = scaled(news_limit, copy_share);
-	tuning.sharing.max_own_copy_age = scaled(news_limit, own_share);
+	tuning.operator_poll_wait = scaled(news_limit, poll_wait_ratio);
+	tuning.replica_poll_wait = scaled(news_limit, replica_wait_ratio);
+	tuning.sharing.max_peer_copy_age = scaled(news_limit, peer_copy_ratio);
+	tuning.sharing.max_own_copy_age = scaled(news_limit, own_copy_ratio);
 	return tuning;
 }
 
 coordinator::coordinator(proxy::gateway& gateway, row_store& registry, registry_layout layout, peer self,
 	std::string reporter, const random_source& random, coordinator_tuning tuning)
 	: gateway_(gateway), layout_(std::move(layout)), self_(std::move(self)), reporter_(std::move(reporter)),
-	  tuning_(std::move(tuning)), sources_(self_),
-	  store_(gateway.context(), registry, sources_, store_hooks(), sharing_tuning()),
-	  relay_(gateway.context(), server_hooks()),
-	  suspects_(gateway.context(), store_, gateway.suspects(), layout_.own_table),
+	  tuning_(std::move(tuning)), source_selector_(self_),
+	  shared_store_(gateway.context(), registry, source_selector_, store_hooks(), sharing_tuning()),
+	  relay_server_(gateway.context(), server_hooks()),
+	  suspect_rows_(gateway.context(), shared_store_, gateway.suspects(), layout_.own_table),
 	  register_timer_(gateway.context()), write_timer_(gateway.context()), expire_timer_(gateway.context()),
 	  evidence_timer_(gateway.context()),
-	  operators_(gateway.context(), store_, layout_.operator_table, random,
+	  operator_follower_(gateway.context(), shared_store_, layout_.operator_table, random,
 		  {[this](const auto& rows) { on_operator_table(rows); },
 			  [this](const auto& rows) { on_operator_rows(rows); },
 			  [this](instant newest_at, registry_time at)
 			  {
-				  note_suspension();
+				  check_machine_suspension();
 				  gateway_.confirm(newest_at);
 				  gateway_.versions().note_registry_time(at, proxy::steady_now());
-				  suspects_.note_registry_time(at, proxy::steady_now());
+				  suspect_rows_.note_registry_time(at, proxy::steady_now());
 			  },
-			  // What the other calls wait for may be lost as well: they are made again.
+			  // The responses to the other pending calls may be lost as well, so they are repeated.
 			  [this](store_error)
 			  {
-				  note_suspension();
-				  store_.abandon();
+				  check_machine_suspension();
+				  shared_store_.abandon();
 			  }},
-		  {.wait = tuning_.operator_wait}),
-	  replicas_(gateway.context(), store_, layout_.replica_table, random,
+		  {.wait = tuning_.operator_poll_wait}),
+	  replica_follower_(gateway.context(), shared_store_, layout_.replica_table, random,
 		  {[this](const auto& rows) { on_replicas(rows); },
 			  [this](const auto& rows) { on_replica_rows(rows); },
 			  [this](instant newest_at, registry_time)
@@ -74,83 +75,84 @@
 				  expire_replicas();
 			  },
 			  [this](store_error) { gateway_.replicas().note_unsound(proxy::steady_now()); }},
-		  {.wait = tuning_.replica_wait, .batch_delay = tuning_.batch_delay}),
-	  own_(gateway.context(), store_, layout_.own_table, random,
+		  {.wait = tuning_.replica_poll_wait, .batch_delay = tuning_.batch_delay}),
+	  own_follower_(gateway.context(), shared_store_, layout_.own_table, random,
 		  {[this](const auto& rows) { on_own_rows(rows); }, [this](const auto& rows) { on_own_rows(rows); },
 			  [this](instant newest_at, registry_time) { gateway_.vms().confirm(newest_at); },
 			  [](store_error) {}},
-		  {.wait = tuning_.other_wait, .batch_delay = tuning_.batch_delay}),
-	  evidence_(gateway.context(), registry, layout_.evidence_table, random,
+		  {.wait = tuning_.own_poll_wait, .batch_delay = tuning_.batch_delay}),
+	  evidence_follower_(gateway.context(), registry, layout_.evidence_table, random,
 		  {[this](const auto& rows) { on_evidence_rows(rows); },
 			  [this](const auto& rows) { on_evidence_rows(rows); }, [](instant, registry_time) {},
 			  [](store_error) {}},
-		  {.wait = tuning_.evidence_wait, .batch_delay = tuning_.batch_delay})
+		  {.wait = tuning_.evidence_poll_wait, .batch_delay = tuning_.batch_delay})
 {
 }
 
 proxy::error_code coordinator::start()
 {
-	const auto error = relay_.listen(self_.address);
+	const auto error = relay_server_.listen(self_.address);
 	if (!error)
 	{
-		own_.start();
+		own_follower_.start();
 	}
 	return error;
 }
 
-/// The other tables are followed once it is known through whom.
-void coordinator::start_rest()
+/// Started once the VMs to read through are known from the router's own table.
+void coordinator::start_remaining_followers()
 {
-	if (!rest_started_)
+	if (!remaining_followers_started_)
 	{
-		rest_started_ = true;
-		operators_.start();
-		replicas_.start();
+		remaining_followers_started_ = true;
+		operator_follower_.start();
+		replica_follower_.start();
 	}
 }
 
 void coordinator::stop()
 {
-	operators_.stop();
-	replicas_.stop();
-	own_.stop();
-	evidence_.stop();
-	relay_.stop();
-	suspects_.stop();
+	operator_follower_.stop();
+	replica_follower_.stop();
+	own_follower_.stop();
+	evidence_follower_.stop();
+	relay_server_.stop();
+	suspect_rows_.stop();
 	write_timer_.cancel();
 	expire_timer_.cancel();
 	evidence_timer_.cancel();
 	register_timer_.cancel();
 }
 
-/// Looked at with each answer of the table that is asked for most often: calls under way fail at the latest.
-void coordinator::note_suspension()
+/// Checked with each response or failure for the operators' table, the one polled most often; calls that were
+/// pending during a suspension fail at the latest.
+void coordinator::check_machine_suspension()
 {
-	const auto without = std::chrono::steady_clock::now().time_since_epoch();
-	if (const auto span = suspensions_.note(boot_clock::now().time_since_epoch(), without))
+	const auto monotonic_now = std::chrono::steady_clock::now().time_since_epoch();
+	if (const auto span = suspension_watch_.note(boot_clock::now().time_since_epoch(), monotonic_now))
 	{
 		log::write(log::level::warn, "machine was suspended", {{"for_ms", to_milliseconds(*span)}});
 	}
 }
 
-/// A VM that starts again where it was is still registered.
+/// A VM that restarts with the same address is still registered.
 void coordinator::register_self()
 {
-	const auto known = vms_.find(self_.vm);
-	if (known != vms_.end() && known->second == self_)
+	const auto registered = vms_.find(self_.vm);
+	if (registered != vms_.end() && registered->second == self_)
 	{
 		return;
 	}
 	row_change change;
-	change.puts.push_back({layout_.own_table, vm_prefix + self_.vm.str(), write_vm(self_)});
-	store_.change(change,
+	change.puts.push_back({layout_.own_table, vm_key_prefix + self_.vm.str(), write_vm(self_)});
+	shared_store_.change(change,
 		[this](const store_result<change_result>& answer)
 		{
 			if (answer)
 			{
 				return;
 			}
-			register_timer_.expires_after(tuning_.register_again);
+			register_timer_.expires_after(tuning_.register_retry_delay);
 			register_timer_.async_wait(
 				[this](const proxy::error_code& error)
 				{
@@ -164,7 +166,7 @@
 
 table_follower* coordinator::follower_of(const std::string& table)
 {
-	for (auto* one : {&operators_, &replicas_, &own_})
+	for (auto* one : {&operator_follower_, &replica_follower_, &own_follower_})
 	{
 		if (one->cache().table() == table)
 		{
@@ -174,18 +176,18 @@
 	return nullptr;
 }
 
-/// An evacuation whose row is not there was withdrawn, perhaps while this VM heard nothing.
+/// An evacuation without a row has been withdrawn, possibly while this VM had no contact with the registry.
 void coordinator::on_operator_table(const std::vector<row>& rows)
 {
-	std::set<failure_domain_id> standing;
+	std::set<failure_domain_id> ordered_domains;
 	for (const auto& one : rows)
 	{
 		if (const auto domain = layout_.evacuated_domain(one.key))
 		{
-			standing.insert(*domain);
+			ordered_domains.insert(*domain);
 		}
 	}
-	gateway_.evacuated().retain(standing);
+	gateway_.evacuated().retain(ordered_domains);
 	on_operator_rows(rows);
 }
 
@@ -202,7 +204,7 @@
 			on_operator_row(one);
 		}
 	}
-	relay_.on_change(layout_.operator_table);
+	relay_server_.on_change(layout_.operator_table);
 	arm();
 }
 
@@ -211,7 +213,7 @@
 	const auto news = layout_.read_operator_row(one);
 	if (!news)
 	{
-		log_findings("operator's row not understood", news.error());
+		log_findings("invalid operator row", news.error());
 		return;
 	}
 	if (std::holds_alternative<std::monostate>(*news))
@@ -220,7 +222,7 @@
 	}
 	if (const auto* catalog = std::get_if<routing::catalog_ptr>(&*news))
 	{
-		take_catalog(*catalog);
+		apply_catalog(*catalog);
 	}
 	if (const auto* order = std::get_if<rollout::shift_order>(&*news))
 	{
@@ -230,11 +232,11 @@
 	}
 }
 
-void coordinator::take_catalog(const routing::catalog_ptr& catalog)
+void coordinator::apply_catalog(const routing::catalog_ptr& catalog)
 {
 	if (gateway_.take(catalog))
 	{
-		log::write(log::level::info, "configuration in force",
+		log::write(log::level::info, "configuration applied",
 			{{"version", catalog->version().value()}, {"routes", catalog->route_count()}});
 	}
 }
@@ -253,11 +255,11 @@
 		}
 		gateway_.replicas().remove(replica_id{one.key}, now);
 	}
-	relay_.on_change(layout_.replica_table);
+	relay_server_.on_change(layout_.replica_table);
 	expire_replicas();
 }
 
-/// Looked at once a replica: each heartbeat of a cold one brings its row again.
+/// Checked once per replica, as each heartbeat of a cold replica delivers its row again.
 void coordinator::note_unknown_fields(const row& one)
 {
 	if (gateway_.replicas().find(replica_id{one.key}) != nullptr)
@@ -280,14 +282,14 @@
 			entries.push_back(std::move(*entry));
 		}
 	}
-	log::write(log::level::info, "replicas read",
+	log::write(log::level::info, "replica table loaded",
 		{{"count", entries.size()}, {"unreadable", rows.size() - entries.size()}});
 	gateway_.take_replicas(std::move(entries), proxy::steady_now());
-	relay_.on_change(layout_.replica_table);
+	relay_server_.on_change(layout_.replica_table);
 }
 
-/// An entry that can't be read names no replica to use, also where one was known under its id: another writer
-/// may have put it there. The replica's own next heartbeat brings it back.
+/// A malformed entry makes its replica unusable, even if a valid entry was known under its id: another writer
+/// may have overwritten it. The replica's next heartbeat restores it.
 std::optional<routing::replica> coordinator::read_replica(const row& one) const
 {
 	if (one.removed)
@@ -297,7 +299,7 @@
 	auto entry = layout_.read_replica_row(one);
 	if (!entry)
 	{
-		log_findings("replica's row not understood", entry.error());
+		log_findings("invalid replica row", entry.error());
 		return std::nullopt;
 	}
 	return std::move(*entry);
@@ -308,35 +310,35 @@
 	bool vms_changed = false;
 	for (const auto& one : rows)
 	{
-		if (one.key.starts_with(vm_prefix))
+		if (one.key.starts_with(vm_key_prefix))
 		{
 			on_vm_row(one);
 			vms_changed = true;
 		}
 		else if (one.key.starts_with(suspect_prefix))
 		{
-			suspects_.on_row(one, proxy::steady_now());
+			suspect_rows_.on_row(one, proxy::steady_now());
 		}
-		else if (one.key.starts_with(plan_prefix) && !one.removed)
+		else if (one.key.starts_with(plan_key_prefix) && !one.removed)
 		{
 			on_plan_row(one);
 		}
 	}
 	if (vms_changed)
 	{
-		note_vms();
+		publish_vms();
 	}
-	if (!std::exchange(looked_for_self_, true))
+	if (!std::exchange(registration_checked_, true))
 	{
 		register_self();
 	}
-	relay_.on_change(layout_.own_table);
+	relay_server_.on_change(layout_.own_table);
 	follow_evidence();
-	start_rest();
+	start_remaining_followers();
 	arm();
 }
 
-void coordinator::note_vms()
+void coordinator::publish_vms()
 {
 	std::vector<peer> peers;
 	std::vector<routing::fleet_member> members;
@@ -345,7 +347,7 @@
 		peers.push_back(vm);
 		members.push_back({id, vm.domain});
 	}
-	sources_.set_peers(std::move(peers));
+	source_selector_.set_peers(std::move(peers));
 	gateway_.note_vms(vms_.size());
 	gateway_.vms().set(self_.vm, members, proxy::steady_now());
 }
@@ -354,7 +356,7 @@
 {
 	if (one.removed)
 	{
-		vms_.erase(vm_id{one.key.substr(vm_prefix.size())});
+		vms_.erase(vm_id{one.key.substr(vm_key_prefix.size())});
 		return;
 	}
 	if (const auto vm = read_vm(one))
@@ -363,7 +365,7 @@
 	}
 	else
 	{
-		log_findings("VM's row not understood", vm.error());
+		log_findings("invalid VM row", vm.error());
 	}
 }
 
@@ -375,7 +377,7 @@
 	}
 	else
 	{
-		log_findings("plan not understood", plan.error());
+		log_findings("invalid version shift plan", plan.error());
 	}
 }
 
@@ -410,12 +412,12 @@
 		{
 			if (!error)
 			{
-				write_due();
+				write_due_changes();
 			}
 		});
 }
 
-void coordinator::write_due()
+void coordinator::write_due_changes()
 {
 	for (const auto& one : gateway_.versions().due(proxy::steady_now()))
 	{
@@ -429,11 +431,11 @@
 	row_change change;
 	if (what.plan)
 	{
-		const auto key = plan_prefix + what.plan->service.str();
+		const auto key = plan_key_prefix + what.plan->service.str();
 		change.conditions.push_back({layout_.own_table, key, what.plan->row});
 		change.puts.push_back({layout_.own_table, key, write_plan(*what.plan)});
 		change.puts.push_back(layout_.status_row(*what.plan));
-		log::write(log::level::info, "version shift written",
+		log::write(log::level::info, "writing version shift plan",
 			{{"service", what.plan->service.str()}, {"state", rollout::name_of(what.plan->state)},
 				{"on_row_version", what.plan->row.value()}});
 	}
@@ -443,19 +445,20 @@
 		const auto key = one.evidence.service.str() + "/" + reporter;
 		change.puts.push_back({layout_.evidence_table, key, write_evidence(one.evidence)});
 	}
-	store_.change(change, [this](store_result<change_result> answer) { on_written(std::move(answer)); });
+	shared_store_.change(
+		change, [this](store_result<change_result> answer) { on_written(std::move(answer)); });
 }
 
 void coordinator::on_written(store_result<change_result> answer)
 {
 	if (!answer)
 	{
-		log::write(log::level::warn, "write not confirmed", {{"why", name_of(answer.error())}});
+		log::write(log::level::warn, "registry write not confirmed", {{"why", name_of(answer.error())}});
 		return;
 	}
 	if (!answer->done)
 	{
-		// Another VM was first: its row is the one that counts.
+		// Another VM wrote the row first, and its row takes precedence.
 		on_own_rows(answer->rows);
 	}
 }
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Connects the registry to the data path: what VMs tell one another, directly and through the evidence table.
+// Connects the registry to the data path: exchange with other VMs, directly and through the evidence table.
 #include <algorithm>
 #include <gingerdyke/control/coordinator.hpp>
 #include <gingerdyke/log/log.hpp>
@@ -16,14 +16,14 @@
 shared_store_hooks coordinator::store_hooks()
 {
 	shared_store_hooks hooks;
-	hooks.report = [this](const std::string& table) { return report_with(table); };
-	hooks.summary_received = [this](const peer_summary& summary) { on_summary(summary); };
+	hooks.report = [this](const std::string& table) { return make_report(table); };
+	hooks.summary_received = [this](const peer_summary& summary) { on_peer_summary(summary); };
 	hooks.reader_role_changed = [this](bool reads_registry)
 	{
 		gateway_.versions().note_reads_registry(reads_registry);
 		reads_registry_ = reads_registry;
-		suspects_.note_reads_registry(reads_registry);
-		suspects_.arm();
+		suspect_rows_.note_reads_registry(reads_registry);
+		suspect_rows_.arm();
 		follow_evidence();
 		arm();
 	};
@@ -56,14 +56,14 @@
 		const auto* follower = follower_of(table);
 		return follower == nullptr ? nullptr : &follower->cache();
 	};
-	hooks.reads_registry = [this](const std::string& table) { return store_.reads_registry(table); };
-	hooks.report_received = [this](const peer_report& report) { on_report(report); };
+	hooks.reads_registry = [this](const std::string& table) { return shared_store_.reads_registry(table); };
+	hooks.report_received = [this](const peer_report& report) { on_peer_report(report); };
 	hooks.make_summary = [this](const std::string& reporter) { return summary_for(reporter); };
 	return hooks;
 }
 
-/// The operators' table is the one that is asked for most often.
-std::optional<peer_report> coordinator::report_with(const std::string& table) const
+/// Reports are sent with the polls of the operators' table, which are the most frequent.
+std::optional<peer_report> coordinator::make_report(const std::string& table) const
 {
 	if (table != layout_.operator_table)
 	{
@@ -75,17 +75,17 @@
 		versions.suspensions(), gateway_.suspects().news(1, now), gateway_.announced().own_news(now)};
 }
 
-void coordinator::on_report(const peer_report& report)
+void coordinator::on_peer_report(const peer_report& report)
 {
 	const auto now = proxy::steady_now();
 	reports_.set_work(report.reporter, report.work, now);
-	note_work_of_others(reports_.work_excluding(reporter_, now));
+	update_remote_work(reports_.work_excluding(reporter_, now));
 	for (const auto& one : report.evidence)
 	{
 		gateway_.versions().on_relayed_evidence(report.reporter, one, now);
 	}
-	take_suspensions(report.suspended);
-	take_suspects(report.suspects);
+	apply_suspensions(report.suspended);
+	apply_suspects(report.suspects);
 	reports_.set_limits(report.reporter, report.limits, now);
 	apply_limits(report.limits);
 	if (!report.evidence.empty())
@@ -99,33 +99,33 @@
 	const auto now = proxy::steady_now();
 	reports_.set_work(reporter_, gateway_.selector().open_work(), now);
 	reports_.set_limits(reporter_, gateway_.announced().own_news(now), now);
-	// What stood beside one end only is for the VMs that sum up.
-	constexpr std::size_t least_ended = 2;
+	// Requests with a single termination are only of use to the VM that aggregates them.
+	constexpr std::size_t min_terminations = 2;
 	return {reports_.work_excluding(reporter, now), gateway_.versions().suspensions(),
-		gateway_.suspects().news(least_ended, now), reports_.limits_excluding(reporter, now)};
+		gateway_.suspects().news(min_terminations, now), reports_.limits_excluding(reporter, now)};
 }
 
-void coordinator::on_summary(const peer_summary& summary)
+void coordinator::on_peer_summary(const peer_summary& summary)
 {
-	note_work_of_others(summary.work);
-	take_suspensions(summary.suspended);
-	take_suspects(summary.suspects);
+	update_remote_work(summary.work);
+	apply_suspensions(summary.suspended);
+	apply_suspects(summary.suspects);
 	apply_limits(summary.limits);
 }
 
 void coordinator::apply_limits(const std::vector<routing::limit_news>& limits)
 {
 	const auto now = proxy::steady_now();
-	for (const auto& heard : limits)
+	for (const auto& limit : limits)
 	{
-		if (const auto of = gateway_.replicas().find(heard.replica))
+		if (const auto replica = gateway_.replicas().find(limit.replica))
 		{
-			gateway_.announced().note_elsewhere(*of, heard, now);
+			gateway_.announced().note_elsewhere(*replica, limit, now);
 		}
 	}
 }
 
-void coordinator::take_suspects(const std::vector<quarantine::suspicion>& suspects)
+void coordinator::apply_suspects(const std::vector<quarantine::suspicion>& suspects)
 {
 	const auto now = proxy::steady_now();
 	for (const auto& one : suspects)
@@ -134,11 +134,11 @@
 	}
 	if (!suspects.empty())
 	{
-		suspects_.arm();
+		suspect_rows_.arm();
 	}
 }
 
-void coordinator::take_suspensions(const std::vector<rollout::shift_suspension>& suspended)
+void coordinator::apply_suspensions(const std::vector<rollout::shift_suspension>& suspended)
 {
 	for (const auto& one : suspended)
 	{
@@ -150,12 +150,14 @@
 	}
 }
 
-/// Those that report here are of one failure domain; the others have about as much work open for each VM.
-void coordinator::note_work_of_others(std::vector<routing::replica_work> work)
+/// The VMs that report here are all of this failure domain; VMs of other failure domains are assumed to have
+/// the same work in progress per VM.
+void coordinator::update_remote_work(std::vector<routing::replica_work> work)
 {
-	const auto near = std::count_if(
+	const auto local_vms = std::count_if(
 		vms_.begin(), vms_.end(), [this](const auto& entry) { return entry.second.domain == self_.domain; });
-	const auto scale = near == 0 ? 1.0 : static_cast<double>(vms_.size()) / static_cast<double>(near);
+	const auto scale =
+		local_vms == 0 ? 1.0 : static_cast<double>(vms_.size()) / static_cast<double>(local_vms);
 	for (auto& one : work)
 	{
 		one.tokens *= scale;
@@ -163,14 +165,14 @@
 	gateway_.selector().note_elsewhere(work, proxy::steady_now());
 }
 
-/// Each call is priced, and evidence is only there while a shift runs.
+/// Each call is billed, and evidence only exists during a shift.
 void coordinator::follow_evidence()
 {
 	if (!reads_registry_ || !gateway_.versions().is_shifting())
 	{
 		follows_evidence_ = false;
 		evidence_timer_.cancel();
-		evidence_.stop();
+		evidence_follower_.stop();
 		return;
 	}
 	if (std::exchange(follows_evidence_, true))
@@ -183,7 +185,7 @@
 		{
 			if (!error && follows_evidence_)
 			{
-				evidence_.start();
+				evidence_follower_.start();
 			}
 		});
 }
@@ -213,7 +215,8 @@
 	}
 	else
 	{
-		log::write(log::level::error, "evidence not understood", {{"findings", to_text(evidence.error())}});
+		log::write(
+			log::level::error, "invalid version shift evidence", {{"findings", to_text(evidence.error())}});
 	}
 }
 } // namespace gingerdyke::control
--- a/src/control/own_rows.cpp
+++ b/src/control/own_rows.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Rows of our own table, as JSON.
+// JSON encoding of the rows in the router's own tables.
 #include <algorithm>
 #include <gingerdyke/control/coordinator.hpp>
 #include <gingerdyke/control/row_json.hpp>
@@ -8,17 +8,17 @@
 {
 namespace
 {
-json counts_json(const rollout::answer_counts& counts)
+json counts_to_json(const rollout::answer_counts& counts)
 {
 	return {{"answers", counts.answers}, {"failed", counts.failed}};
 }
 
-rollout::answer_counts counts_of(const json& value)
+rollout::answer_counts counts_from_json(const json& value)
 {
 	return {value.at("answers").get<std::uint64_t>(), value.at("failed").get<std::uint64_t>()};
 }
 
-json cells_json(const rollout::by_cell<rollout::answer_counts>& seen)
+json cells_to_json(const rollout::by_cell<rollout::answer_counts>& seen)
 {
 	json cells = json::array();
 	for (const auto& [cell, counts] : seen)
@@ -28,7 +28,7 @@
 	return cells;
 }
 
-rollout::by_cell<rollout::answer_counts> cells_of(const json& value)
+rollout::by_cell<rollout::answer_counts> cells_from_json(const json& value)
 {
 	rollout::by_cell<rollout::answer_counts> seen;
 	for (const auto& one : value)
@@ -39,18 +39,19 @@
 	return seen;
 }
 
-json route_json(const rollout::route_evidence& seen)
+json route_to_json(const rollout::route_evidence& seen)
 {
-	return {{"before", counts_json(seen.before)}, {"old", cells_json(seen.old_version)},
-		{"new", cells_json(seen.new_version)}};
+	return {{"before", counts_to_json(seen.before)}, {"old", cells_to_json(seen.old_version)},
+		{"new", cells_to_json(seen.new_version)}};
 }
 
-rollout::route_evidence route_of(const json& value)
+rollout::route_evidence route_from_json(const json& value)
 {
-	return {counts_of(value.at("before")), cells_of(value.at("old")), cells_of(value.at("new"))};
+	return {counts_from_json(value.at("before")), cells_from_json(value.at("old")),
+		cells_from_json(value.at("new"))};
 }
 
-rollout::answer_times times_of(const json& value)
+rollout::answer_times times_from_json(const json& value)
 {
 	rollout::answer_times times;
 	for (std::size_t level = 0; level < value.size(); ++level)
@@ -60,7 +61,7 @@
 	return times;
 }
 
-json time_cells_json(const rollout::by_cell<rollout::answer_times>& seen)
+json time_cells_to_json(const rollout::by_cell<rollout::answer_times>& seen)
 {
 	json cells = json::array();
 	for (const auto& [cell, times] : seen)
@@ -70,34 +71,35 @@
 	return cells;
 }
 
-rollout::by_cell<rollout::answer_times> time_cells_of(const json& value)
+rollout::by_cell<rollout::answer_times> time_cells_from_json(const json& value)
 {
 	rollout::by_cell<rollout::answer_times> seen;
 	for (const auto& one : value)
 	{
-		seen[one.at(0).get<rollout::cell_index>()] += times_of(one.at(1));
+		seen[one.at(0).get<rollout::cell_index>()] += times_from_json(one.at(1));
 	}
 	return seen;
 }
 
-json models_json(const rollout::times_by_model& times)
+json models_to_json(const rollout::times_by_model& times)
 {
 	json models = json::array();
 	for (const auto& [model, seen] : times)
 	{
 		models.push_back({{"model", model}, {"usual", seen.usual.counts()}, {"before", seen.before.counts()},
-			{"old", time_cells_json(seen.old_version)}, {"new", time_cells_json(seen.new_version)}});
+			{"old", time_cells_to_json(seen.old_version)}, {"new", time_cells_to_json(seen.new_version)}});
 	}
 	return models;
 }
 
-rollout::times_by_model models_of(const json& value)
+rollout::times_by_model models_from_json(const json& value)
 {
 	rollout::times_by_model times;
 	for (const auto& one : value)
 	{
-		times[one.at("model").get<std::string>()] = {times_of(one.at("usual")), times_of(one.at("before")),
-			time_cells_of(one.at("old")), time_cells_of(one.at("new"))};
+		times[one.at("model").get<std::string>()] = {times_from_json(one.at("usual")),
+			times_from_json(one.at("before")), time_cells_from_json(one.at("old")),
+			time_cells_from_json(one.at("new"))};
 	}
 	return times;
 }
@@ -135,7 +137,7 @@
 			const auto state = rollout::parse_shift_state(value.at("state").get<std::string>());
 			if (!state)
 			{
-				return unreadable(from, "no known state");
+				return unreadable(from, "unknown shift state");
 			}
 			plan.state = *state;
 			return plan;
@@ -170,13 +172,13 @@
 	json routes = json::array();
 	for (const auto& [route, seen] : evidence.seen.by_route)
 	{
-		auto written = route_json(seen);
+		auto written = route_to_json(seen);
 		written["route"] = route;
 		routes.push_back(std::move(written));
 	}
 	return json{{"service", evidence.service.str()}, {"order", evidence.order.value()}, {"routes", routes},
-		{"models", models_json(evidence.seen.by_model)}, {"paces", models_json(evidence.seen.by_pace)},
-		{"late", route_json(evidence.seen.late)}}
+		{"models", models_to_json(evidence.seen.by_model)}, {"paces", models_to_json(evidence.seen.by_pace)},
+		{"late", route_to_json(evidence.seen.late)}}
 		.dump();
 }
 
@@ -190,11 +192,11 @@
 			evidence.order = row_version{value.at("order").get<std::int64_t>()};
 			for (const auto& one : value.at("routes"))
 			{
-				evidence.seen.by_route[one.at("route").get<std::string>()] = route_of(one);
+				evidence.seen.by_route[one.at("route").get<std::string>()] = route_from_json(one);
 			}
-			evidence.seen.late = route_of(value.at("late"));
-			evidence.seen.by_model = models_of(value.at("models"));
-			evidence.seen.by_pace = models_of(value.at("paces"));
+			evidence.seen.late = route_from_json(value.at("late"));
+			evidence.seen.by_model = models_from_json(value.at("models"));
+			evidence.seen.by_pace = models_from_json(value.at("paces"));
 			return evidence;
 		});
 }
--- a/src/control/suspect_rows.cpp
+++ b/src/control/suspect_rows.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Requests under which replicas ended, in the registry.
+// Stores requests during which replicas terminated in the registry.
 #include <algorithm>
 #include <gingerdyke/control/row_json.hpp>
 #include <gingerdyke/control/suspect_rows.hpp>
@@ -10,7 +10,7 @@
 {
 namespace
 {
-json lives_json(const std::set<quarantine::process_life>& lives)
+json lives_to_json(const std::set<quarantine::process_life>& lives)
 {
 	json all = json::array();
 	for (const auto life : lives)
@@ -20,7 +20,7 @@
 	return all;
 }
 
-std::set<quarantine::process_life> lives_of(const json& value)
+std::set<quarantine::process_life> lives_from_json(const json& value)
 {
 	std::set<quarantine::process_life> all;
 	for (const auto& one : value)
@@ -30,22 +30,23 @@
 	return all;
 }
 
-json ended_json(const quarantine::ended_lives& ended)
+json ended_to_json(const quarantine::ended_lives& ended)
 {
 	json all = json::array();
 	for (const auto& [life, together] : ended)
 	{
-		all.push_back({{"life", life.value()}, {"together", lives_json(together)}});
+		all.push_back({{"life", life.value()}, {"together", lives_to_json(together)}});
 	}
 	return all;
 }
 
-quarantine::ended_lives ended_of(const json& value)
+quarantine::ended_lives ended_from_json(const json& value)
 {
 	quarantine::ended_lives all;
 	for (const auto& one : value)
 	{
-		all[quarantine::process_life{one.at("life").get<std::int64_t>()}] = lives_of(one.at("together"));
+		all[quarantine::process_life{one.at("life").get<std::int64_t>()}] =
+			lives_from_json(one.at("together"));
 	}
 	return all;
 }
@@ -58,7 +59,7 @@
 
 std::string write_suspicion(const stored_suspicion& what)
 {
-	return json{{"ended", ended_json(what.known.ended)}, {"survived", lives_json(what.known.survived)},
+	return json{{"ended", ended_to_json(what.known.ended)}, {"survived", lives_to_json(what.known.survived)},
 		{"last_end_us", what.last_end.count()}}
 		.dump();
 }
@@ -70,8 +71,8 @@
 		{
 			stored_suspicion read;
 			read.known.key = quarantine::request_key{from.key.substr(suspect_prefix.size())};
-			read.known.ended = ended_of(value.at("ended"));
-			read.known.survived = lives_of(value.at("survived"));
+			read.known.ended = ended_from_json(value.at("ended"));
+			read.known.survived = lives_from_json(value.at("survived"));
 			read.last_end = registry_time{value.at("last_end_us").get<std::int64_t>()};
 			return read;
 		});
@@ -85,8 +86,8 @@
 
 void suspect_rows::note_registry_time(registry_time at, instant now)
 {
-	offset_ = at - now.time_since_epoch();
-	for (const auto& one : std::exchange(early_, {}))
+	registry_clock_offset_ = at - now.time_since_epoch();
+	for (const auto& one : std::exchange(rows_before_clock_, {}))
 	{
 		on_row(one, now);
 	}
@@ -94,9 +95,9 @@
 
 void suspect_rows::on_row(const row& one, instant now)
 {
-	if (!offset_)
+	if (!registry_clock_offset_)
 	{
-		early_.push_back(one);
+		rows_before_clock_.push_back(one);
 		return;
 	}
 	if (one.removed)
@@ -105,30 +106,30 @@
 		suspects_.forget(quarantine::request_key{one.key.substr(suspect_prefix.size())});
 		return;
 	}
-	take(one, now);
+	apply_row(one, now);
 }
 
-void suspect_rows::take(const row& one, instant now)
+void suspect_rows::apply_row(const row& one, instant now)
 {
 	auto& known = rows_[one.key];
 	known.version = one.version;
 	const auto read = read_suspicion(one);
 	if (!read)
 	{
-		log::write(log::level::error, "suspicion not understood", {{"findings", to_text(read.error())}});
+		log::write(log::level::error, "invalid suspected request row", {{"findings", to_text(read.error())}});
 		return;
 	}
-	known.last_end = std::min(now, instant{read->last_end - *offset_});
+	known.last_end = std::min(now, instant{read->last_end - *registry_clock_offset_});
 	suspects_.note_stored(read->known, *known.last_end, now);
 	arm();
 }
 
 void suspect_rows::arm()
 {
-	arm_after(tuning_.batch_delay);
+	write_after(tuning_.batch_delay);
 }
 
-void suspect_rows::arm_after(duration pause)
+void suspect_rows::write_after(duration pause)
 {
 	if (is_armed_ || is_writing_ || suspects_.unstored(reads_registry_, proxy::steady_now()).empty())
 	{
@@ -155,43 +156,43 @@
 void suspect_rows::write()
 {
 	const auto now = proxy::steady_now();
-	auto news = suspects_.unstored(reads_registry_, now);
-	if (news.empty())
+	auto to_store = suspects_.unstored(reads_registry_, now);
+	if (to_store.empty())
 	{
 		return;
 	}
-	news.resize(std::min(news.size(), tuning_.most_rows));
-	if (!offset_)
+	to_store.resize(std::min(to_store.size(), tuning_.max_rows_per_change));
+	if (!registry_clock_offset_)
 	{
-		arm_after(tuning_.again);
+		write_after(tuning_.retry_delay);
 		return;
 	}
-	const auto change = change_for(news, now);
+	const auto change = make_change(to_store, now);
 	is_writing_ = true;
 	registry_.change(change,
-		[this, news, change](const store_result<change_result>& answer)
+		[this, to_store, change](const store_result<change_result>& answer)
 		{
 			is_writing_ = false;
-			on_written(news, change, answer);
+			on_written(to_store, change, answer);
 		});
-	remove_old(now);
+	remove_expired(now);
 }
 
-row_change suspect_rows::change_for(const std::vector<quarantine::suspicion>& news, instant now) const
+row_change suspect_rows::make_change(const std::vector<quarantine::suspicion>& to_store, instant now) const
 {
 	row_change change;
-	for (const auto& one : news)
+	for (const auto& one : to_store)
 	{
 		const auto key = row_key_of(one.key);
 		const auto last_end = suspects_.last_end(one.key).value_or(now);
-		const stored_suspicion stored{one, last_end.time_since_epoch() + *offset_};
-		change.conditions.push_back(unchanged(key));
+		const stored_suspicion stored{one, last_end.time_since_epoch() + *registry_clock_offset_};
+		change.conditions.push_back(unchanged_condition(key));
 		change.puts.push_back({table_, key, write_suspicion(stored)});
 	}
 	return change;
 }
 
-row_change::condition suspect_rows::unchanged(const std::string& key) const
+row_change::condition suspect_rows::unchanged_condition(const std::string& key) const
 {
 	const auto known = rows_.find(key);
 	return {table_, key, known == rows_.end() ? row_version{0} : known->second.version};
@@ -203,17 +204,17 @@
 	const auto now = proxy::steady_now();
 	if (!answer)
 	{
-		log::write(log::level::warn, "suspicions not stored",
+		log::write(log::level::warn, "storing suspected requests failed",
 			{{"why", name_of(answer.error())}, {"count", written.size()}});
-		arm_after(tuning_.again);
+		write_after(tuning_.retry_delay);
 		return;
 	}
 	if (!answer->done)
 	{
-		on_changed_meanwhile(change, answer->rows, now);
+		on_conflict(change, answer->rows, now);
 		return;
 	}
-	log::write(log::level::info, "suspicions stored", {{"count", written.size()}});
+	log::write(log::level::info, "suspected requests stored", {{"count", written.size()}});
 	for (const auto& one : written)
 	{
 		suspects_.note_stored(one, suspects_.last_end(one.key).value_or(now), now);
@@ -221,19 +222,20 @@
 	arm();
 }
 
-/// What the rows tell is taken first; what they still lack is written with the next change.
-void suspect_rows::on_changed_meanwhile(const row_change& tried, const std::vector<row>& present, instant now)
+/// Applies the current rows first; what they lack is written with the next change.
+void suspect_rows::on_conflict(const row_change& attempted, const std::vector<row>& current_rows, instant now)
 {
-	log::write(log::level::info, "suspicions changed by another VM", {{"count", present.size()}});
-	for (const auto& one : present)
+	log::write(
+		log::level::info, "suspected requests changed by another VM", {{"count", current_rows.size()}});
+	for (const auto& one : current_rows)
 	{
 		on_row(one, now);
 	}
-	for (const auto& one : tried.conditions)
+	for (const auto& one : attempted.conditions)
 	{
-		const bool is_present = std::any_of(
-			present.begin(), present.end(), [&](const row& other) { return other.key == one.key; });
-		if (!is_present && one.version != row_version{0})
+		const bool still_exists = std::any_of(
+			current_rows.begin(), current_rows.end(), [&](const row& other) { return other.key == one.key; });
+		if (!still_exists && one.version != row_version{0})
 		{
 			on_row({table_, one.key, {}, one.version, true}, now);
 		}
@@ -241,16 +243,16 @@
 	arm();
 }
 
-/// Whoever writes also clears away: rows are only read where they are few.
-void suspect_rows::remove_old(instant now)
+/// Removal is combined with writes, which keeps the number of rows small for all readers.
+void suspect_rows::remove_expired(instant now)
 {
 	row_change change;
 	for (const auto& [key, known] : rows_)
 	{
-		const bool is_old = known.last_end && now - *known.last_end > tuning_.lifetime;
-		if (is_old && change.removals.size() < tuning_.most_rows)
+		const bool is_expired = known.last_end && now - *known.last_end > tuning_.lifetime;
+		if (is_expired && change.removals.size() < tuning_.max_rows_per_change)
 		{
-			change.conditions.push_back(unchanged(key));
+			change.conditions.push_back(unchanged_condition(key));
 			change.removals.push_back({table_, key});
 		}
 	}
@@ -263,12 +265,12 @@
 		{
 			if (!answer)
 			{
-				log::write(
-					log::level::warn, "old suspicions not removed", {{"why", name_of(answer.error())}});
+				log::write(log::level::warn, "removing expired suspected requests failed",
+					{{"why", name_of(answer.error())}});
 			}
 			else if (!answer->done)
 			{
-				on_changed_meanwhile(change, answer->rows, proxy::steady_now());
+				on_conflict(change, answer->rows, proxy::steady_now());
 			}
 		});
 }
--- a/tests/control/suspect_rows.cpp
+++ b/tests/control/suspect_rows.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Requests under which replicas ended, as rows of the registry.
+// Registry rows of requests during which replicas terminated.
 #include "../support/control_world.hpp"
 #include <gingerdyke/control/suspect_rows.hpp>
 
@@ -11,32 +11,32 @@
 
 namespace
 {
-/// A registry that keeps what is written; answers wait until the test gives them.
-struct recording_store : scripted_store
+/// A registry that records writes; the test answers them.
+struct recording_registry : scripted_store
 {
 	void change(const row_change& what, std::function<void(store_result<change_result>)> done) override
 	{
 		changes.push_back(what);
-		waiting.push_back(std::move(done));
+		pending_changes.push_back(std::move(done));
 	}
 
 	void answer(store_result<change_result> result)
 	{
-		const auto done = std::move(waiting.front());
-		waiting.erase(waiting.begin());
+		const auto done = std::move(pending_changes.front());
+		pending_changes.erase(pending_changes.begin());
 		done(std::move(result));
 	}
 
 	std::vector<row_change> changes;
-	std::vector<std::function<void(store_result<change_result>)>> waiting;
+	std::vector<std::function<void(store_result<change_result>)>> pending_changes;
 };
 
-/// One VM's list with its rows.
-struct stored_list
+/// A VM's list of suspects and its rows.
+struct stored_suspects
 {
-	stored_list() { rows.note_registry_time(registry_time{seconds{500}}, proxy::steady_now()); }
+	stored_suspects() { rows.note_registry_time(registry_time{seconds{500}}, proxy::steady_now()); }
 
-	void end(int life, const char* key)
+	void terminate(int life, const char* key)
 	{
 		const auto now = proxy::steady_now();
 		list.presume(process_life{life}, {request_key{key}}, now);
@@ -51,14 +51,14 @@
 	}
 
 	proxy::asio::io_context context{1};
-	recording_store store;
+	recording_registry store;
 	quarantine::suspect_list list{[](const suspicion&, double) {}};
 	suspect_rows rows{
-		context, store, list, "own", {.batch_delay = milliseconds{1}, .again = milliseconds{1}}};
+		context, store, list, "own", {.batch_delay = milliseconds{1}, .retry_delay = milliseconds{1}}};
 };
 } // namespace
 
-TEST_CASE("a suspicion comes back from its row as it was written", "[quarantine]")
+TEST_CASE("a suspicion round-trips through its row and malformed rows are rejected", "[quarantine]")
 {
 	stored_suspicion what{
 		{request_key{"k"}, {{process_life{-3}, {}}, {process_life{4}, {process_life{5}, process_life{-6}}}},
@@ -76,12 +76,12 @@
 	}
 }
 
-TEST_CASE("two ends of its own are stored, once; a write that failed is made again", "[quarantine]")
+TEST_CASE("two terminations seen by one VM are stored once, and a failed write is retried", "[quarantine]")
 {
-	stored_list vm;
-	vm.end(1, "k");
+	stored_suspects vm;
+	vm.terminate(1, "k");
 	CHECK(vm.list.unstored(false, proxy::steady_now()).empty());
-	vm.end(2, "k");
+	vm.terminate(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 1; });
 	CHECK(vm.store.changes.front().puts.front().key == "suspect/k");
 	vm.store.answer(tl::make_unexpected(store_error::unavailable));
@@ -94,35 +94,35 @@
 	CHECK(vm.store.changes.size() == 2);
 }
 
-TEST_CASE("what was written while a write was under way follows it", "[quarantine]")
+TEST_CASE("changes made during a write are stored by the next write", "[quarantine]")
 {
-	stored_list vm;
-	vm.end(1, "k");
-	vm.end(2, "k");
+	stored_suspects vm;
+	vm.terminate(1, "k");
+	vm.terminate(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 1; });
-	vm.end(3, "k");
+	vm.terminate(3, "k");
 	vm.store.answer(change_result{true, {}});
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	CHECK(read_suspicion(vm.stored_row())->known.ended.size() == 3);
 }
 
-// Two VMs wrote the row of one request at the same moment, each with the ends that it knew. The later write
-// was the one with fewer ends, and both took the row for complete. After a loss of all VMs 4 s later the row
-// told two of three ends, and four more replicas ended.
-TEST_CASE("ends that another VM stores meanwhile are not overwritten", "[quarantine]")
+// Guards against overwriting concurrent writes. Two VMs wrote the row of one request at the same time, the
+// later write held fewer terminations, and both VMs took the row for complete. After a restart of all VMs 4 s
+// later the row held two of three terminations, and four more replicas terminated.
+TEST_CASE("terminations stored concurrently by another VM are not overwritten", "[quarantine]")
 {
-	stored_list vm;
-	vm.end(1, "k");
-	vm.end(2, "k");
+	stored_suspects vm;
+	vm.terminate(1, "k");
+	vm.terminate(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 1; });
 	const auto& first = vm.store.changes.front();
 	REQUIRE(first.conditions.size() == 1);
 	CHECK(first.conditions.front().key == "suspect/k");
 	CHECK(first.conditions.front().version == row_version{0});
-	stored_list other;
+	stored_suspects other;
 	for (const int life : {2, 7, 8})
 	{
-		other.end(life, "k");
+		other.terminate(life, "k");
 	}
 	run_until(other.context, [&] { return other.store.changes.size() == 1; });
 	vm.store.answer(change_result{false, {other.stored_row()}});
@@ -132,13 +132,13 @@
 	CHECK(read_suspicion(vm.stored_row())->known.ended.size() == 4);
 }
 
-// The registry takes 100 entries in a change, conditions among them, and refuses a larger one as a whole.
-TEST_CASE("many rows are written and removed in changes that the registry takes", "[quarantine]")
+// The registry rejects transactions of more than 100 entries, conditions included, as a whole.
+TEST_CASE("many rows are written and removed in transactions within the registry's limit", "[quarantine]")
 {
-	constexpr std::size_t most_entries = 100;
+	constexpr std::size_t max_entries = 100;
 	const auto entries = [](const row_change& one)
 	{ return one.conditions.size() + one.puts.size() + one.removals.size(); };
-	stored_list vm;
+	stored_suspects vm;
 	std::vector<request_key> many;
 	for (int i = 0; i < 150; ++i)
 	{
@@ -158,7 +158,7 @@
 	{
 		const auto before = vm.store.changes.size();
 		run_until(vm.context, [&] { return vm.store.changes.size() >= before + 2; });
-		REQUIRE(vm.store.waiting.size() == 2);
+		REQUIRE(vm.store.pending_changes.size() == 2);
 		for (int i = 0; i < 2; ++i)
 		{
 			vm.store.answer(change_result{true, {}});
@@ -166,20 +166,20 @@
 	}
 	for (const auto& one : vm.store.changes)
 	{
-		CHECK(entries(one) <= most_entries);
+		CHECK(entries(one) <= max_entries);
 	}
 	CHECK(vm.list.unstored(false, proxy::steady_now()).empty());
 }
 
-TEST_CASE("a row that an operator removes while it is written is not made anew", "[quarantine]")
+TEST_CASE("a row that an operator removes during a write is not created again", "[quarantine]")
 {
-	stored_list vm;
-	vm.end(1, "k");
-	vm.end(2, "k");
+	stored_suspects vm;
+	vm.terminate(1, "k");
+	vm.terminate(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 1; });
 	vm.store.answer(change_result{true, {}});
 	vm.rows.on_row(vm.stored_row(), proxy::steady_now());
-	vm.end(3, "k");
+	vm.terminate(3, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	vm.store.answer(change_result{false, {}});
 	CHECK_FALSE(vm.list.is_held(request_key{"k"}, proxy::steady_now()));
@@ -188,15 +188,16 @@
 	CHECK(vm.store.changes.size() == 2);
 }
 
-TEST_CASE("a VM that starts holds back what the rows tell, until an operator removes the row", "[quarantine]")
+TEST_CASE("a starting VM holds back requests with stored suspicions until an operator removes the row",
+	"[quarantine]")
 {
-	stored_list vm;
+	stored_suspects vm;
 	for (const int life : {1, 2, 3})
 	{
-		vm.end(life, "k");
+		vm.terminate(life, "k");
 	}
 	run_until(vm.context, [&] { return !vm.store.changes.empty(); });
-	stored_list other;
+	stored_suspects other;
 	auto one = vm.stored_row();
 	other.rows.on_row(one, proxy::steady_now());
 	CHECK(other.list.is_held(request_key{"k"}, proxy::steady_now()));
@@ -206,11 +207,11 @@
 	CHECK_FALSE(other.list.last_end(request_key{"k"}));
 }
 
-TEST_CASE("rows that come before the registry's clock are taken once it is known, old ones not as new",
+TEST_CASE("rows received before the registry's clock is known are applied later with their true age",
 	"[quarantine]")
 {
 	proxy::asio::io_context context{1};
-	recording_store store;
+	recording_registry store;
 	quarantine::suspect_list list{[](const suspicion&, double) {}};
 	suspect_rows rows{context, store, list, "own"};
 	const auto row_of = [](const char* key, duration age)
@@ -228,16 +229,16 @@
 	CHECK_FALSE(list.last_end(request_key{"old"}));
 }
 
-TEST_CASE("a row of long ago holds nothing back, and goes with the next write", "[quarantine]")
+TEST_CASE("an expired row holds back no request and is removed with the next write", "[quarantine]")
 {
-	stored_list vm;
+	stored_suspects vm;
 	const stored_suspicion old{
 		{request_key{"old"}, {{process_life{1}, {}}, {process_life{2}, {}}, {process_life{3}, {}}}, {}},
 		registry_time{seconds{500} - std::chrono::minutes{11}}};
 	vm.rows.on_row({"own", "suspect/old", write_suspicion(old), row_version{1}, false}, proxy::steady_now());
 	CHECK_FALSE(vm.list.last_end(request_key{"old"}));
-	vm.end(1, "k");
-	vm.end(2, "k");
+	vm.terminate(1, "k");
+	vm.terminate(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	REQUIRE(vm.store.changes.back().removals.size() == 1);
 	CHECK(vm.store.changes.back().removals.front().key == "suspect/old");
