--- a/include/gingerdyke/control/coordinator.hpp
+++ b/include/gingerdyke/control/coordinator.hpp
@@ -32,10 +32,10 @@
 	std::string evidence_table;
 
 	/// Content of a row of the operators' table.
-	using operator_news = std::variant<std::monostate, routing::catalog_ptr, rollout::shift_order>;
+	using operator_statement = std::variant<std::monostate, routing::catalog_ptr, rollout::shift_order>;
 
 	/// Decodes a row of the operators' table; findings if the row is malformed.
-	std::function<checked<operator_news>(const row&)> read_operator_row;
+	std::function<checked<operator_statement>(const row&)> read_operator_row;
 
 	/// Returns the failure domain whose evacuation a row of the operators' table orders for as long as the
 	/// row exists; none if the key belongs to another kind of row.
@@ -102,7 +102,7 @@
 	void stop();
 
 	/// \brief Schedules the next write; to be called after requests have added evidence.
-	void arm();
+	void schedule_write();
 
 	/// \brief To be called after a replica terminated during requests.
 	void on_suspicion() { suspect_rows_.arm(); }
--- a/include/gingerdyke/control/row_json.hpp
+++ b/include/gingerdyke/control/row_json.hpp
@@ -8,7 +8,7 @@
 namespace gingerdyke::control
 {
 /// \brief Returns a result that holds a single finding about a row.
-[[nodiscard]] inline tl::unexpected<findings> unreadable(const row& from, const std::string& why)
+[[nodiscard]] inline tl::unexpected<findings> invalid_row(const row& from, const std::string& why)
 {
 	return tl::make_unexpected(findings{{{from.table + "/" + from.key, "", 0}, why}});
 }
@@ -17,7 +17,7 @@
 /// \param read Converts the parsed value; may throw the exceptions of the JSON library.
 /// \returns The converted value, or a finding.
 template <typename T, typename Read>
-[[nodiscard]] checked<T> read_json(const row& from, const Read& read)
+[[nodiscard]] checked<T> parse_row_value(const row& from, const Read& read)
 {
 	try
 	{
@@ -25,7 +25,7 @@
 	}
 	catch (const json::exception& error)
 	{
-		return unreadable(from, error.what());
+		return invalid_row(from, error.what());
 	}
 }
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/suspect_rows.hpp
+++ b/include/gingerdyke/control/suspect_rows.hpp
@@ -16,7 +16,7 @@
 namespace gingerdyke::control
 {
 /// Key prefix of these rows.
-inline constexpr std::string_view suspect_prefix = "suspect/";
+inline constexpr std::string_view suspect_key_prefix = "suspect/";
 
 /// \brief A suspicion as stored in its row.
 struct stored_suspicion
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -205,7 +205,7 @@
 		}
 	}
 	relay_server_.on_change(layout_.operator_table);
-	arm();
+	schedule_write();
 }
 
 void coordinator::on_operator_row(const row& one)
@@ -315,7 +315,7 @@
 			on_vm_row(one);
 			vms_changed = true;
 		}
-		else if (one.key.starts_with(suspect_prefix))
+		else if (one.key.starts_with(suspect_key_prefix))
 		{
 			suspect_rows_.on_row(one, proxy::steady_now());
 		}
@@ -335,7 +335,7 @@
 	relay_server_.on_change(layout_.own_table);
 	follow_evidence();
 	start_remaining_followers();
-	arm();
+	schedule_write();
 }
 
 void coordinator::publish_vms()
@@ -399,7 +399,7 @@
 		});
 }
 
-void coordinator::arm()
+void coordinator::schedule_write()
 {
 	const auto next = gateway_.versions().next_due();
 	if (!next)
@@ -423,7 +423,7 @@
 	{
 		write(one);
 	}
-	arm();
+	schedule_write();
 }
 
 void coordinator::write(const rollout::shift_write& what)
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -25,7 +25,7 @@
 		suspect_rows_.note_reads_registry(reads_registry);
 		suspect_rows_.arm();
 		follow_evidence();
-		arm();
+		schedule_write();
 	};
 	hooks.copy_confirmed = [this](const std::string& table, instant newest_at)
 	{ on_copy_confirmed(table, newest_at); };
@@ -90,7 +90,7 @@
 	apply_limits(report.limits);
 	if (!report.evidence.empty())
 	{
-		arm();
+		schedule_write();
 	}
 }
 
@@ -146,7 +146,7 @@
 	}
 	if (!suspended.empty())
 	{
-		arm();
+		schedule_write();
 	}
 }
 
@@ -199,7 +199,7 @@
 			on_evidence_row(one);
 		}
 	}
-	arm();
+	schedule_write();
 }
 
 void coordinator::on_evidence_row(const row& one)
--- a/src/control/own_rows.cpp
+++ b/src/control/own_rows.cpp
@@ -119,7 +119,7 @@
 
 checked<rollout::shift_plan> read_plan(const row& from)
 {
-	return read_json<rollout::shift_plan>(from,
+	return parse_row_value<rollout::shift_plan>(from,
 		[&](const json& value) -> checked<rollout::shift_plan>
 		{
 			rollout::shift_plan plan;
@@ -137,7 +137,7 @@
 			const auto state = rollout::parse_shift_state(value.at("state").get<std::string>());
 			if (!state)
 			{
-				return unreadable(from, "unknown shift state");
+				return invalid_row(from, "unknown shift state");
 			}
 			plan.state = *state;
 			return plan;
@@ -153,13 +153,13 @@
 
 checked<peer> read_vm(const row& from)
 {
-	return read_json<peer>(from,
+	return parse_row_value<peer>(from,
 		[&](const json& value) -> checked<peer>
 		{
 			const auto at = routing::address::parse(value.at("address").get<std::string>());
 			if (!at)
 			{
-				return unreadable(from, "address is not IP:PORT");
+				return invalid_row(from, "address is not IP:PORT");
 			}
 			return peer{vm_id{value.at("vm").get<std::string>()},
 				failure_domain_id{value.at("domain").get<std::string>()}, *at,
@@ -184,7 +184,7 @@
 
 checked<rollout::shift_evidence> read_evidence(const row& from)
 {
-	return read_json<rollout::shift_evidence>(from,
+	return parse_row_value<rollout::shift_evidence>(from,
 		[](const json& value) -> checked<rollout::shift_evidence>
 		{
 			rollout::shift_evidence evidence;
--- a/src/control/suspect_rows.cpp
+++ b/src/control/suspect_rows.cpp
@@ -53,7 +53,7 @@
 
 std::string row_key_of(const quarantine::request_key& key)
 {
-	return std::string{suspect_prefix} + key.str();
+	return std::string{suspect_key_prefix} + key.str();
 }
 } // namespace
 
@@ -66,11 +66,11 @@
 
 checked<stored_suspicion> read_suspicion(const row& from)
 {
-	return read_json<stored_suspicion>(from,
+	return parse_row_value<stored_suspicion>(from,
 		[&](const json& value) -> checked<stored_suspicion>
 		{
 			stored_suspicion read;
-			read.known.key = quarantine::request_key{from.key.substr(suspect_prefix.size())};
+			read.known.key = quarantine::request_key{from.key.substr(suspect_key_prefix.size())};
 			read.known.ended = ended_from_json(value.at("ended"));
 			read.known.survived = lives_from_json(value.at("survived"));
 			read.last_end = registry_time{value.at("last_end_us").get<std::int64_t>()};
@@ -103,7 +103,7 @@
 	if (one.removed)
 	{
 		rows_.erase(one.key);
-		suspects_.forget(quarantine::request_key{one.key.substr(suspect_prefix.size())});
+		suspects_.forget(quarantine::request_key{one.key.substr(suspect_key_prefix.size())});
 		return;
 	}
 	apply_row(one, now);
--- a/tests/control/suspect_rows.cpp
+++ b/tests/control/suspect_rows.cpp
@@ -219,7 +219,8 @@
 		const stored_suspicion what{
 			{request_key{key}, {{process_life{1}, {}}, {process_life{2}, {}}, {process_life{3}, {}}}, {}},
 			registry_time{seconds{5000}} - age};
-		return row{"own", std::string{suspect_prefix} + key, write_suspicion(what), row_version{1}, false};
+		return row{
+			"own", std::string{suspect_key_prefix} + key, write_suspicion(what), row_version{1}, false};
 	};
 	rows.on_row(row_of("new", seconds{10}), proxy::steady_now());
 	rows.on_row(row_of("old", std::chrono::minutes{11}), proxy::steady_now());
--- a/tests/platform/platform.cpp
+++ b/tests/platform/platform.cpp
@@ -219,7 +219,7 @@
 	rollout::shift_evidence seen{service_id{"x"}, order, {}};
 	seen.seen.by_route["r"].new_version[2] = {12, 12};
 	reader_world.gateway().versions().on_relayed_evidence("vm2-1", seen, proxy::steady_now());
-	reader.coordinator.arm();
+	reader.coordinator.schedule_write();
 	reader_world.run_until([&] { return registry.value("gingerdyke-evidence", "x/vm2-1").is_object(); });
 	reader_world.run_until(
 		[&] { return registry.value("status", "rollout/x").at("state") == "rolled_back"; });
