--- a/include/gingerdyke/membership/member.hpp
+++ b/include/gingerdyke/membership/member.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Members: entry VMs and upstream VMs as the platform's list names them.
+// Members: entry VMs and upstream VMs as listed by the platform.
 #pragma once
 
 #include <gingerdyke/base/ids.hpp>
@@ -9,7 +9,7 @@
 
 namespace gingerdyke::membership
 {
-/// \brief What the platform says of a VM.
+/// \brief State of a VM as reported by the platform.
 enum class member_state
 {
 	live,
@@ -17,14 +17,14 @@
 	gone,
 };
 
-/// \brief What a VM is for.
+/// \brief Role of a VM.
 enum class member_kind
 {
 	entry,
 	upstream,
 };
 
-/// \brief One VM of the list.
+/// \brief A VM of the member list.
 struct member
 {
 	vm_id vm;
@@ -38,7 +38,7 @@
 	bool operator==(const member&) const = default;
 };
 
-/// \brief The platform's list at one of its revisions.
+/// \brief Revision of the platform's member list.
 struct member_list
 {
 	std::int64_t list_revision{};
--- a/src/membership/live_list.cpp
+++ b/src/membership/live_list.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Who is there: the platform's lagging list, sharpened by what this VM heard itself.
+// Membership as seen by this VM.
 #include <algorithm>
 #include <gingerdyke/base/crypto.hpp>
 #include <gingerdyke/membership/live_list.hpp>
@@ -14,7 +14,7 @@
 live_list::live_list(member self, const std::vector<member>& seeds) : self_(std::move(self))
 {
 	list_.members = seeds;
-	index();
+	rebuild_index();
 }
 
 bool live_list::apply(const member_list& list)
@@ -24,19 +24,19 @@
 		return false;
 	}
 	list_ = list;
-	index();
+	rebuild_index();
 	return true;
 }
 
 void live_list::note_leaving(const vm_id& vm)
 {
-	if (said_leaving_.insert(vm).second)
+	if (announced_leaving_.insert(vm).second)
 	{
-		index();
+		rebuild_index();
 	}
 }
 
-void live_list::index()
+void live_list::rebuild_index()
 {
 	++generation_;
 	by_id_.clear();
@@ -48,8 +48,8 @@
 	by_id_.try_emplace(self_.vm, self_);
 	for (const auto& [id, one] : by_id_)
 	{
-		const bool live = one.state == member_state::live && !said_leaving_.contains(id);
-		if (one.kind == member_kind::entry && (live || id == self_.vm))
+		const bool is_live = one.state == member_state::live && !announced_leaving_.contains(id);
+		if (one.kind == member_kind::entry && (is_live || id == self_.vm))
 		{
 			live_entries_[one.failure_domain].push_back(id);
 		}
@@ -82,18 +82,18 @@
 
 std::size_t live_list::rank_in_domain(std::string_view key) const
 {
-	const auto own = rendezvous_weight(key, self_.vm);
+	const auto own_weight = rendezvous_weight(key, self_.vm);
 	const auto vms = entries_of(self_.failure_domain);
 	return static_cast<std::size_t>(std::count_if(
-		vms.begin(), vms.end(), [&](const vm_id& vm) { return rendezvous_weight(key, vm) > own; }));
+		vms.begin(), vms.end(), [&](const vm_id& vm) { return rendezvous_weight(key, vm) > own_weight; }));
 }
 
 vm_id live_list::owner_in(const failure_domain_id& domain, std::string_view key) const
 {
 	const auto vms = entries_of(domain);
-	const auto heavier = [&](const vm_id& a, const vm_id& b)
+	const auto has_lower_weight = [&](const vm_id& a, const vm_id& b)
 	{ return rendezvous_weight(key, a) < rendezvous_weight(key, b); };
-	const auto found = std::max_element(vms.begin(), vms.end(), heavier);
+	const auto found = std::max_element(vms.begin(), vms.end(), has_lower_weight);
 	return found == vms.end() ? vm_id{} : *found;
 }
 
@@ -121,12 +121,12 @@
 
 std::vector<vm_id> pick_some(std::vector<vm_id> from, std::size_t count, const random_source& random)
 {
-	const auto taken = std::min(count, from.size());
-	for (std::size_t i = 0; i < taken; ++i)
+	const auto sample_size = std::min(count, from.size());
+	for (std::size_t i = 0; i < sample_size; ++i)
 	{
 		std::swap(from[i], from[i + random_below(random, from.size() - i)]);
 	}
-	from.resize(taken);
+	from.resize(sample_size);
 	return from;
 }
 } // namespace gingerdyke::membership
