--- a/bench/experiment_bad_versions.cpp
+++ b/bench/experiment_bad_versions.cpp
@@ -3,7 +3,7 @@
 #include "experiments.hpp"
 #include <cmath>
 #include <gingerdyke/base/random.hpp>
-#include <gingerdyke/membership/live_list.hpp>
+#include <gingerdyke/membership/membership_view.hpp>
 #include <gingerdyke/rollout/permit_owner.hpp>
 #include <gingerdyke/rollout/trial_gate.hpp>
 #include <memory>
@@ -35,7 +35,7 @@
 /// One VM's part: its gate, and the trials that it owns.
 struct vm_part
 {
-	std::unique_ptr<membership::live_list> live;
+	std::unique_ptr<membership::membership_view> live;
 	std::unique_ptr<rollout::trial_gate> gate;
 	std::unique_ptr<rollout::permit_owner> owner;
 };
@@ -57,7 +57,7 @@
 		for (const auto& member : members)
 		{
 			auto& part = parts_[member.vm];
-			part.live = std::make_unique<membership::live_list>(member, members);
+			part.live = std::make_unique<membership::membership_view>(member, members);
 			part.gate = std::make_unique<rollout::trial_gate>(*part.live);
 			part.owner = std::make_unique<rollout::permit_owner>(*part.live);
 		}
--- a/include/gingerdyke/ledger/journal.hpp
+++ b/include/gingerdyke/ledger/journal.hpp
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <gingerdyke/base/effect.hpp>
 #include <gingerdyke/ledger/bill.hpp>
-#include <gingerdyke/membership/live_list.hpp>
+#include <gingerdyke/membership/membership_view.hpp>
 #include <map>
 #include <optional>
 
@@ -38,7 +38,7 @@
 class journal
 {
   public:
-	explicit journal(const membership::live_list& live, journal_limits limits = {});
+	explicit journal(const membership::membership_view& live, journal_limits limits = {});
 
 	[[nodiscard]] effects on_put(const vm_incarnation& from, const peer::journal_put& body, instant now);
 	void on_forget(const vm_incarnation& from, const peer::journal_forget& body, instant now);
@@ -74,7 +74,7 @@
 	[[nodiscard]] bool may_settle(
 		const vm_incarnation& id, const owner& owner, const held_bill& held, instant now) const;
 
-	const membership::live_list& live_;
+	const membership::membership_view& live_;
 	journal_limits limits_;
 	std::map<vm_incarnation, owner> owners_;
 	std::map<std::uint64_t, settling> calls_;
--- a/include/gingerdyke/ledger/outbox.hpp
+++ b/include/gingerdyke/ledger/outbox.hpp
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <gingerdyke/base/effect.hpp>
 #include <gingerdyke/ledger/bill.hpp>
-#include <gingerdyke/membership/live_list.hpp>
+#include <gingerdyke/membership/membership_view.hpp>
 #include <map>
 #include <set>
 #include <vector>
@@ -58,7 +58,7 @@
 class outbox
 {
   public:
-	outbox(const membership::live_list& live, outbox_limits limits = {});
+	outbox(const membership::membership_view& live, outbox_limits limits = {});
 
 	/// \brief Journals that a request is about to be dispatched.
 	[[nodiscard]] outbox_step open(const bill& intent, instant now);
@@ -113,7 +113,7 @@
 	[[nodiscard]] outbox_step journal(entry& entry, instant now);
 	[[nodiscard]] effects forget(const std::vector<request_id>& requests) const;
 
-	const membership::live_list& live_;
+	const membership::membership_view& live_;
 	outbox_limits limits_;
 	std::map<request_id, entry> entries_;
 	std::vector<vm_id> holders_;
--- a/include/gingerdyke/limits/workspace_limiter.hpp
+++ b/include/gingerdyke/limits/workspace_limiter.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include <gingerdyke/limits/token_bucket.hpp>
-#include <gingerdyke/membership/live_list.hpp>
+#include <gingerdyke/membership/membership_view.hpp>
 #include <gingerdyke/table/table.hpp>
 #include <map>
 #include <optional>
@@ -15,7 +15,7 @@
 class workspace_limiter
 {
   public:
-	explicit workspace_limiter(const membership::live_list& live) : live_(live) {}
+	explicit workspace_limiter(const membership::membership_view& live) : live_(live) {}
 
 	/// \brief Lets one request pass.
 	/// \returns Nothing where it may pass, else how long to wait until the next may.
@@ -25,7 +25,7 @@
   private:
 	[[nodiscard]] double own_rate(const table::table& table, const table::workspace_row& workspace) const;
 
-	const membership::live_list& live_;
+	const membership::membership_view& live_;
 	std::map<workspace_id, token_bucket> buckets_;
 };
 } // namespace gingerdyke::limits
--- a/include/gingerdyke/membership/live_list.hpp
+++ b/include/gingerdyke/membership/membership_view.hpp
@@ -19,12 +19,12 @@
 
 /// \brief The VMs known to this VM. The platform's newest list replaces the previous one entirely, except
 /// that a VM that announced its departure counts as leaving at once.
-class live_list
+class membership_view
 {
   public:
 	/// \param self This VM.
 	/// \param seeds Entry VMs from the settings, used until the first list arrives.
-	live_list(member self, const std::vector<member>& seeds);
+	membership_view(member self, const std::vector<member>& seeds);
 
 	/// \brief Replaces the list if the given one is newer.
 	/// \returns Whether it was newer.
@@ -64,7 +64,7 @@
 	[[nodiscard]] const member* find(const vm_id& vm) const;
 
 	/// \brief Returns whether an upstream VM is leaving or gone. A VM that was never listed counts as live.
-	[[nodiscard]] bool upstream_leaves(const vm_id& vm) const;
+	[[nodiscard]] bool is_upstream_leaving(const vm_id& vm) const;
 
   private:
 	void rebuild_index();
@@ -78,6 +78,6 @@
 };
 
 /// \brief Returns a random sample without replacement.
-[[nodiscard]] std::vector<vm_id> pick_some(
+[[nodiscard]] std::vector<vm_id> sample(
 	std::vector<vm_id> from, std::size_t count, const random_source& random);
 } // namespace gingerdyke::membership
--- a/include/gingerdyke/node/core.hpp
+++ b/include/gingerdyke/node/core.hpp
@@ -12,7 +12,7 @@
 #include <gingerdyke/ledger/journal.hpp>
 #include <gingerdyke/ledger/outbox.hpp>
 #include <gingerdyke/limits/workspace_limiter.hpp>
-#include <gingerdyke/membership/live_list.hpp>
+#include <gingerdyke/membership/membership_view.hpp>
 #include <gingerdyke/node/request_desk.hpp>
 #include <gingerdyke/rollout/permit_owner.hpp>
 #include <gingerdyke/rollout/suspensions.hpp>
@@ -101,7 +101,7 @@
 	[[nodiscard]] actions step(const event& event, instant now);
 
 	[[nodiscard]] const table::spread& table_copy() const noexcept { return spread_; }
-	[[nodiscard]] const membership::live_list& members() const noexcept { return live_; }
+	[[nodiscard]] const membership::membership_view& members() const noexcept { return live_; }
 	[[nodiscard]] const request_desk& requests() const noexcept { return desk_; }
 	[[nodiscard]] const ledger::outbox& bills() const noexcept { return outbox_; }
 	[[nodiscard]] const ledger::journal& journal() const noexcept { return journal_; }
@@ -138,7 +138,7 @@
 	static void run(effects effects, actions& out);
 
 	identity self_;
-	membership::live_list live_;
+	membership::membership_view live_;
 	table::spread spread_;
 	table::editor editor_;
 	claims::book claims_;
--- a/include/gingerdyke/node/request_desk.hpp
+++ b/include/gingerdyke/node/request_desk.hpp
@@ -67,7 +67,7 @@
 /// \brief The parts of the node that requests need.
 struct desk_parts
 {
-	const membership::live_list& live;
+	const membership::membership_view& live;
 	const table::spread& spread;
 	claims::book& claims;
 	ledger::outbox& outbox;
--- a/include/gingerdyke/rollout/permit_owner.hpp
+++ b/include/gingerdyke/rollout/permit_owner.hpp
@@ -4,7 +4,7 @@
 
 #include <chrono>
 #include <gingerdyke/base/effect.hpp>
-#include <gingerdyke/membership/live_list.hpp>
+#include <gingerdyke/membership/membership_view.hpp>
 #include <gingerdyke/rollout/sequential_test.hpp>
 #include <gingerdyke/table/table.hpp>
 #include <map>
@@ -49,7 +49,7 @@
 class permit_owner
 {
   public:
-	explicit permit_owner(const membership::live_list& live, owner_tuning tuning = {});
+	explicit permit_owner(const membership::membership_view& live, owner_tuning tuning = {});
 
 	[[nodiscard]] owner_step on_request(
 		const vm_id& from, const peer::permit_request& request, const table::table& table, instant now);
@@ -82,7 +82,7 @@
 	[[nodiscard]] static peer::evidence domain_sum(const trial& trial);
 	[[nodiscard]] static peer::evidence whole_sum(const trial& trial);
 
-	const membership::live_list& live_;
+	const membership::membership_view& live_;
 	owner_tuning tuning_;
 	std::map<version_ref, trial> trials_;
 	std::optional<instant> last_exchange_;
--- a/include/gingerdyke/rollout/trial_gate.hpp
+++ b/include/gingerdyke/rollout/trial_gate.hpp
@@ -4,7 +4,7 @@
 
 #include <chrono>
 #include <gingerdyke/base/effect.hpp>
-#include <gingerdyke/membership/live_list.hpp>
+#include <gingerdyke/membership/membership_view.hpp>
 #include <gingerdyke/table/table.hpp>
 #include <map>
 
@@ -26,7 +26,7 @@
 class trial_gate
 {
   public:
-	explicit trial_gate(const membership::live_list& live, gate_pace pace = {});
+	explicit trial_gate(const membership::membership_view& live, gate_pace pace = {});
 
 	/// \brief Takes a permit for one request to a version under trial; notes the wish where there is none.
 	[[nodiscard]] bool take_permit(const table::version_row& version, instant now);
@@ -57,7 +57,7 @@
 
 	[[nodiscard]] entry& entry_of(const table::version_row& version);
 
-	const membership::live_list& live_;
+	const membership::membership_view& live_;
 	gate_pace pace_;
 	std::map<version_ref, entry> entries_;
 	std::optional<instant> last_report_;
--- a/include/gingerdyke/table/spread.hpp
+++ b/include/gingerdyke/table/spread.hpp
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <gingerdyke/base/effect.hpp>
 #include <gingerdyke/base/random.hpp>
-#include <gingerdyke/membership/live_list.hpp>
+#include <gingerdyke/membership/membership_view.hpp>
 #include <gingerdyke/table/table.hpp>
 #include <optional>
 
@@ -49,7 +49,7 @@
 class spread
 {
   public:
-	spread(const membership::live_list& live, random_source random, spread_pace pace = {});
+	spread(const membership::membership_view& live, random_source random, spread_pace pace = {});
 
 	/// \brief Polls and sends digests that are due.
 	[[nodiscard]] effects on_tick(instant now);
@@ -107,7 +107,7 @@
 	[[nodiscard]] effects pass_on(revision from) const;
 	void confirm(instant at);
 
-	const membership::live_list& live_;
+	const membership::membership_view& live_;
 	random_source random_;
 	spread_pace pace_;
 	row_set rows_;
--- a/src/ledger/journal.cpp
+++ b/src/ledger/journal.cpp
@@ -4,7 +4,10 @@
 
 namespace gingerdyke::ledger
 {
-journal::journal(const membership::live_list& live, journal_limits limits) : live_(live), limits_(limits) {}
+journal::journal(const membership::membership_view& live, journal_limits limits)
+	: live_(live), limits_(limits)
+{
+}
 
 effects journal::on_put(const vm_incarnation& from, const peer::journal_put& body, instant now)
 {
--- a/src/ledger/outbox.cpp
+++ b/src/ledger/outbox.cpp
@@ -5,7 +5,9 @@
 
 namespace gingerdyke::ledger
 {
-outbox::outbox(const membership::live_list& live, outbox_limits limits) : live_(live), limits_(limits) {}
+outbox::outbox(const membership::membership_view& live, outbox_limits limits) : live_(live), limits_(limits)
+{
+}
 
 bool outbox::is_suspect(const vm_id& vm, instant now) const
 {
--- a/src/membership/live_list.cpp
+++ b/src/membership/membership_view.cpp
@@ -2,7 +2,7 @@
 // Membership as seen by this VM.
 #include <algorithm>
 #include <gingerdyke/base/crypto.hpp>
-#include <gingerdyke/membership/live_list.hpp>
+#include <gingerdyke/membership/membership_view.hpp>
 
 namespace gingerdyke::membership
 {
@@ -11,13 +11,13 @@
 	return mix_hash(stable_hash(key), stable_hash(vm.str()));
 }
 
-live_list::live_list(member self, const std::vector<member>& seeds) : self_(std::move(self))
+membership_view::membership_view(member self, const std::vector<member>& seeds) : self_(std::move(self))
 {
 	list_.members = seeds;
 	rebuild_index();
 }
 
-bool live_list::apply(const member_list& list)
+bool membership_view::apply(const member_list& list)
 {
 	if (list.list_revision <= list_.list_revision)
 	{
@@ -28,7 +28,7 @@
 	return true;
 }
 
-void live_list::note_leaving(const vm_id& vm)
+void membership_view::note_leaving(const vm_id& vm)
 {
 	if (announced_leaving_.insert(vm).second)
 	{
@@ -36,7 +36,7 @@
 	}
 }
 
-void live_list::rebuild_index()
+void membership_view::rebuild_index()
 {
 	++generation_;
 	by_id_.clear();
@@ -56,13 +56,13 @@
 	}
 }
 
-std::vector<vm_id> live_list::entries_of(const failure_domain_id& domain) const
+std::vector<vm_id> membership_view::entries_of(const failure_domain_id& domain) const
 {
 	const auto found = live_entries_.find(domain);
 	return found == live_entries_.end() ? std::vector<vm_id>{} : found->second;
 }
 
-std::vector<vm_id> live_list::entries_outside(const failure_domain_id& domain) const
+std::vector<vm_id> membership_view::entries_outside(const failure_domain_id& domain) const
 {
 	std::vector<vm_id> result;
 	for (const auto& [other, vms] : live_entries_)
@@ -75,12 +75,12 @@
 	return result;
 }
 
-std::vector<vm_id> live_list::entries() const
+std::vector<vm_id> membership_view::entries() const
 {
 	return entries_outside(failure_domain_id{});
 }
 
-std::size_t live_list::rank_in_domain(std::string_view key) const
+std::size_t membership_view::rank_in_domain(std::string_view key) const
 {
 	const auto own_weight = rendezvous_weight(key, self_.vm);
 	const auto vms = entries_of(self_.failure_domain);
@@ -88,7 +88,7 @@
 		vms.begin(), vms.end(), [&](const vm_id& vm) { return rendezvous_weight(key, vm) > own_weight; }));
 }
 
-vm_id live_list::owner_in(const failure_domain_id& domain, std::string_view key) const
+vm_id membership_view::owner_in(const failure_domain_id& domain, std::string_view key) const
 {
 	const auto vms = entries_of(domain);
 	const auto has_lower_weight = [&](const vm_id& a, const vm_id& b)
@@ -97,7 +97,7 @@
 	return found == vms.end() ? vm_id{} : *found;
 }
 
-std::set<failure_domain_id> live_list::domains() const
+std::set<failure_domain_id> membership_view::domains() const
 {
 	std::set<failure_domain_id> result;
 	for (const auto& [domain, vms] : live_entries_)
@@ -107,19 +107,19 @@
 	return result;
 }
 
-const member* live_list::find(const vm_id& vm) const
+const member* membership_view::find(const vm_id& vm) const
 {
 	const auto found = by_id_.find(vm);
 	return found == by_id_.end() ? nullptr : &found->second;
 }
 
-bool live_list::upstream_leaves(const vm_id& vm) const
+bool membership_view::is_upstream_leaving(const vm_id& vm) const
 {
 	const auto* known = find(vm);
 	return known != nullptr && known->state != member_state::live;
 }
 
-std::vector<vm_id> pick_some(std::vector<vm_id> from, std::size_t count, const random_source& random)
+std::vector<vm_id> sample(std::vector<vm_id> from, std::size_t count, const random_source& random)
 {
 	const auto sample_size = std::min(count, from.size());
 	for (std::size_t i = 0; i < sample_size; ++i)
--- a/src/node/request_desk.cpp
+++ b/src/node/request_desk.cpp
@@ -246,7 +246,8 @@
 	const auto& candidates = record.in.kind == request_kind::service
 								 ? record.table->endpoints_of(record.service->id)
 								 : record.table->replicas_of(record.version);
-	const auto leaves = [&](const replica_id& id) { return parts_.live.upstream_leaves(vm_id{id.str()}); };
+	const auto leaves = [&](const replica_id& id)
+	{ return parts_.live.is_upstream_leaving(vm_id{id.str()}); };
 	auto choice = parts_.board.choose(
 		candidates, parts_.live.self().failure_domain, record.in.prefix, record.tried, leaves, now);
 	if (record.trace.decisions.empty())
--- a/src/rollout/permit_owner.cpp
+++ b/src/rollout/permit_owner.cpp
@@ -27,7 +27,7 @@
 }
 } // namespace
 
-permit_owner::permit_owner(const membership::live_list& live, owner_tuning tuning)
+permit_owner::permit_owner(const membership::membership_view& live, owner_tuning tuning)
 	: live_(live), tuning_(tuning)
 {
 }
--- a/src/rollout/trial_gate.cpp
+++ b/src/rollout/trial_gate.cpp
@@ -10,7 +10,7 @@
 	return "permit/" + version.str();
 }
 
-trial_gate::trial_gate(const membership::live_list& live, gate_pace pace) : live_(live), pace_(pace) {}
+trial_gate::trial_gate(const membership::membership_view& live, gate_pace pace) : live_(live), pace_(pace) {}
 
 trial_gate::entry& trial_gate::entry_of(const table::version_row& version)
 {
--- a/src/table/spread.cpp
+++ b/src/table/spread.cpp
@@ -62,7 +62,7 @@
 }
 } // namespace
 
-spread::spread(const membership::live_list& live, random_source random, spread_pace pace)
+spread::spread(const membership::membership_view& live, random_source random, spread_pace pace)
 	: live_(live), random_(std::move(random)), pace_(pace)
 {
 }
@@ -176,8 +176,8 @@
 	const auto& own_domain = live_.self().failure_domain;
 	auto near = live_.entries_of(own_domain);
 	std::erase(near, live_.self().vm);
-	auto picked = membership::pick_some(std::move(near), inside, random_);
-	const auto far = membership::pick_some(live_.entries_outside(own_domain), outside, random_);
+	auto picked = membership::sample(std::move(near), inside, random_);
+	const auto far = membership::sample(live_.entries_outside(own_domain), outside, random_);
 	picked.insert(picked.end(), far.begin(), far.end());
 	return picked;
 }
