--- a/include/gingerdyke/control/row_json.hpp
+++ b/include/gingerdyke/control/row_json.hpp
@@ -8,7 +8,7 @@
 namespace gingerdyke::control
 {
 /// \brief Returns a result that holds a single finding about a row.
-[[nodiscard]] inline tl::unexpected<findings> invalid_row(const row& from, const std::string& why)
+[[nodiscard]] inline tl::unexpected<findings> row_error(const row& from, const std::string& why)
 {
 	return tl::make_unexpected(findings{{{from.table + "/" + from.key, "", 0}, why}});
 }
@@ -25,7 +25,7 @@
 	}
 	catch (const json::exception& error)
 	{
-		return invalid_row(from, error.what());
+		return row_error(from, error.what());
 	}
 }
 } // namespace gingerdyke::control
--- a/src/control/own_rows.cpp
+++ b/src/control/own_rows.cpp
@@ -137,7 +137,7 @@
 			const auto state = rollout::parse_shift_state(value.at("state").get<std::string>());
 			if (!state)
 			{
-				return invalid_row(from, "unknown shift state");
+				return row_error(from, "unknown shift state");
 			}
 			plan.state = *state;
 			return plan;
@@ -159,7 +159,7 @@
 			const auto at = routing::address::parse(value.at("address").get<std::string>());
 			if (!at)
 			{
-				return invalid_row(from, "address is not IP:PORT");
+				return row_error(from, "address is not IP:PORT");
 			}
 			return peer{vm_id{value.at("vm").get<std::string>()},
 				failure_domain_id{value.at("domain").get<std::string>()}, *at,
