--- a/include/gingerdyke/control/coordinator.hpp
+++ b/include/gingerdyke/control/coordinator.hpp
@@ -110,17 +110,17 @@
   private:
 	void on_operator_table(const std::vector<row>& rows);
 	void on_operator_rows(const std::vector<row>& rows);
-	void on_operator_row(const row& one);
+	void on_operator_row(const row& table_row);
 	void on_replica_rows(const std::vector<row>& rows);
 	void on_replicas(const std::vector<row>& rows);
-	void note_unknown_fields(const row& one);
-	[[nodiscard]] std::optional<routing::replica> read_replica(const row& one) const;
+	void note_unknown_fields(const row& table_row);
+	[[nodiscard]] std::optional<routing::replica> read_replica(const row& table_row) const;
 	void on_own_rows(const std::vector<row>& rows);
-	void on_plan_row(const row& one);
+	void on_plan_row(const row& table_row);
 	void follow_evidence();
 	void on_evidence_rows(const std::vector<row>& rows);
-	void on_evidence_row(const row& one);
-	void on_vm_row(const row& one);
+	void on_evidence_row(const row& table_row);
+	void on_vm_row(const row& table_row);
 	void publish_vms();
 	void register_self();
 	void start_remaining_followers();
@@ -128,8 +128,8 @@
 	void apply_catalog(const routing::catalog_ptr& catalog);
 	void expire_replicas();
 	void write_due_changes();
-	void write(const rollout::shift_write& what);
-	void on_written(store_result<change_result> answer);
+	void write(const rollout::shift_write& shift);
+	void on_written(store_result<change_result> result);
 
 	// Exchange with other VMs.
 	void on_copy_confirmed(const std::string& table, instant newest_at);
--- a/include/gingerdyke/control/relay_server.hpp
+++ b/include/gingerdyke/control/relay_server.hpp
@@ -61,7 +61,7 @@
 	void on_frame(const std::shared_ptr<frame_link>& from, std::string_view frame);
 	[[nodiscard]] bool can_respond(const relay_poll& poll) const;
 	[[nodiscard]] duration time_until_too_old(const relay_poll& poll) const;
-	[[nodiscard]] instant next_check_at(const waiting_poll& one) const;
+	[[nodiscard]] instant next_check_at(const waiting_poll& waiting) const;
 	void respond(const waiting_poll& to);
 	void add_rows(const table_cache& from, const relay_poll& poll, relay_response& to);
 	void arm_timer();
--- a/include/gingerdyke/control/row_store.hpp
+++ b/include/gingerdyke/control/row_store.hpp
@@ -37,13 +37,13 @@
 	/// Registry's steady clock when it answered.
 	registry_time at{};
 
-	/// Age of the data when the answer was given: 0 for the registry itself, more for another VM's copy.
+	/// Age of the data when the response was given: 0 for the registry itself, more for another VM's copy.
 	duration age{};
 
 	/// True if the answering VM itself reads the registry through another VM.
 	bool is_relayed{};
 
-	/// Lower bound on how long the call was held before it was answered. An answer without changes after the
+	/// Lower bound on how long the call was held before it was answered. A response without changes after the
 	/// full wait proves that there were none during that time.
 	duration held{};
 };
@@ -51,13 +51,13 @@
 /// \brief Reasons why a read returns no rows.
 enum class store_error
 {
-	/// No answer within the time limit.
+	/// No response within the time limit.
 	unreachable,
 	/// The registry, or the VM that was asked, reports that it cannot serve the request at present.
 	unavailable,
 	/// The history to continue from has been discarded; the table has to be read in full again.
 	history_gone,
-	/// The answer is malformed.
+	/// The response is malformed.
 	bad_answer,
 };
 
@@ -98,7 +98,7 @@
 struct change_result
 {
 	/// False if a condition did not hold; `rows` then holds the current rows.
-	bool done{};
+	bool committed{};
 	std::vector<row> rows;
 };
 
@@ -126,6 +126,7 @@
 	virtual void abandon() = 0;
 
 	/// \brief Applies a transaction.
-	virtual void change(const row_change& what, std::function<void(store_result<change_result>)> done) = 0;
+	virtual void change(
+		const row_change& transaction, std::function<void(store_result<change_result>)> done) = 0;
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/shared_store.hpp
+++ b/include/gingerdyke/control/shared_store.hpp
@@ -83,7 +83,8 @@
 	void read_all(const std::string& table, std::function<void(store_result<row_batch>)> done) override;
 	void follow(const std::string& table, row_version after, duration wait,
 		std::function<void(store_result<row_batch>)> done) override;
-	void change(const row_change& what, std::function<void(store_result<change_result>)> done) override;
+	void change(
+		const row_change& transaction, std::function<void(store_result<change_result>)> done) override;
 	/// \brief Abandons the pending reads from the registry.
 	void abandon() override;
 
--- a/include/gingerdyke/control/source_selector.hpp
+++ b/include/gingerdyke/control/source_selector.hpp
@@ -95,7 +95,7 @@
 	/// \brief Records that a VM has lost the registry: none of its copies is used for a while.
 	void note_registry_lost(const peer& source, instant now);
 
-	/// \brief Records an answer from the registry itself or from a VM that reads it.
+	/// \brief Records a response from the registry itself or from a VM that reads it.
 	/// \param source None for the registry itself.
 	void note_usable(const std::optional<peer>& source);
 
@@ -110,7 +110,7 @@
 	[[nodiscard]] std::size_t full_reader_count() const;
 	[[nodiscard]] bool is_backing_off(const std::string& name, instant now) const;
 	[[nodiscard]] duration max_registry_backoff() const;
-	[[nodiscard]] bool is_usable(const peer& one, const std::string& table, instant now) const;
+	[[nodiscard]] bool is_usable(const peer& candidate, const std::string& table, instant now) const;
 	[[nodiscard]] bool should_read_registry(const std::string& table, instant now) const;
 
 	peer self_;
--- a/include/gingerdyke/control/suspect_rows.hpp
+++ b/include/gingerdyke/control/suspect_rows.hpp
@@ -28,7 +28,7 @@
 };
 
 /// \brief Encodes a suspicion as the value of its row.
-[[nodiscard]] std::string write_suspicion(const stored_suspicion& what);
+[[nodiscard]] std::string write_suspicion(const stored_suspicion& stored);
 
 /// \brief Decodes a suspicion; findings if the value is malformed.
 [[nodiscard]] checked<stored_suspicion> read_suspicion(const row& from);
@@ -60,7 +60,7 @@
 		std::string table, suspect_rows_tuning tuning = {});
 
 	/// \brief Applies a row that changed or was removed.
-	void on_row(const row& one, instant now);
+	void on_row(const row& table_row, instant now);
 
 	/// \brief Records the registry's clock and applies the rows that arrived before it was known.
 	void note_registry_time(registry_time at, instant now);
@@ -79,10 +79,10 @@
 		const std::vector<quarantine::suspicion>& to_store, instant now) const;
 	[[nodiscard]] row_change::condition unchanged_condition(const std::string& key) const;
 	void on_written(const std::vector<quarantine::suspicion>& written, const row_change& change,
-		const store_result<change_result>& answer);
+		const store_result<change_result>& result);
 	void on_conflict(const row_change& attempted, const std::vector<row>& current_rows, instant now);
 	void remove_expired(instant now);
-	void apply_row(const row& one, instant now);
+	void apply_row(const row& table_row, instant now);
 
 	row_store& registry_;
 	quarantine::suspect_list& suspects_;
--- a/include/gingerdyke/control/table_cache.hpp
+++ b/include/gingerdyke/control/table_cache.hpp
@@ -49,7 +49,7 @@
 	[[nodiscard]] const std::string& table() const noexcept { return table_; }
 
   private:
-	void put(const row& one);
+	void put(const row& table_row);
 	void prune_tombstones();
 
 	std::string table_;
--- a/include/gingerdyke/control/table_follower.hpp
+++ b/include/gingerdyke/control/table_follower.hpp
@@ -17,7 +17,7 @@
 	/// the data counts as confirmed only as of the time when a call was sent.
 	duration wait = std::chrono::milliseconds{1500};
 
-	/// Pause after an answer with changes, so that further changes arrive in one batch; 0 for none.
+	/// Pause after a response with changes, so that further changes arrive in one batch; 0 for none.
 	duration batch_delay = duration{0};
 
 	/// Backoff after a failed call, doubled after each failure up to the maximum, with a random spread of
@@ -35,7 +35,8 @@
 	/// Called with the rows that changed, ordered by version, each row once in its current state.
 	std::function<void(const std::vector<row>&)> changed;
 
-	/// Called after each answer: the copy was the newest at `newest_at`, and the registry's clock read `at`.
+	/// Called after each response: the copy was the newest at `newest_at`, and the registry's clock read
+	/// `at`.
 	std::function<void(instant newest_at, registry_time at)> confirmed;
 
 	/// Called after each failed call.
@@ -90,7 +91,7 @@
 	bool is_failing_ = false;
 	bool stopped_ = true;
 
-	/// Incremented by each start, so that answers to calls made before a stop are ignored.
+	/// Incremented by each start, so that responses to calls made before a stop are ignored.
 	unsigned run_id_ = 0;
 };
 } // namespace gingerdyke::control
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -11,11 +11,11 @@
 const std::string plan_key_prefix = "plan/";
 const std::string vm_key_prefix = "vm/";
 
-void log_findings(const char* what, const findings& list)
+void log_findings(const char* message, const findings& list)
 {
-	for (const auto& one : list)
+	for (const auto& finding : list)
 	{
-		log::write(log::level::error, what, {{"finding", one.str()}});
+		log::write(log::level::error, message, {{"finding", finding.str()}});
 	}
 }
 } // namespace
@@ -146,9 +146,9 @@
 	row_change change;
 	change.puts.push_back({layout_.own_table, vm_key_prefix + self_.vm.str(), write_vm(self_)});
 	shared_store_.change(change,
-		[this](const store_result<change_result>& answer)
+		[this](const store_result<change_result>& result)
 		{
-			if (answer)
+			if (result)
 			{
 				return;
 			}
@@ -166,11 +166,11 @@
 
 table_follower* coordinator::follower_of(const std::string& table)
 {
-	for (auto* one : {&operator_follower_, &replica_follower_, &own_follower_})
+	for (auto* follower : {&operator_follower_, &replica_follower_, &own_follower_})
 	{
-		if (one->cache().table() == table)
+		if (follower->cache().table() == table)
 		{
-			return one;
+			return follower;
 		}
 	}
 	return nullptr;
@@ -180,9 +180,9 @@
 void coordinator::on_operator_table(const std::vector<row>& rows)
 {
 	std::set<failure_domain_id> ordered_domains;
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		if (const auto domain = layout_.evacuated_domain(one.key))
+		if (const auto domain = layout_.evacuated_domain(table_row.key))
 		{
 			ordered_domains.insert(*domain);
 		}
@@ -193,38 +193,38 @@
 
 void coordinator::on_operator_rows(const std::vector<row>& rows)
 {
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		if (const auto domain = layout_.evacuated_domain(one.key))
+		if (const auto domain = layout_.evacuated_domain(table_row.key))
 		{
-			one.removed ? gateway_.evacuated().remove(*domain) : gateway_.evacuated().add(*domain);
+			table_row.removed ? gateway_.evacuated().remove(*domain) : gateway_.evacuated().add(*domain);
 		}
-		else if (!one.removed)
+		else if (!table_row.removed)
 		{
-			on_operator_row(one);
+			on_operator_row(table_row);
 		}
 	}
 	relay_server_.on_change(layout_.operator_table);
 	schedule_write();
 }
 
-void coordinator::on_operator_row(const row& one)
+void coordinator::on_operator_row(const row& table_row)
 {
-	const auto news = layout_.read_operator_row(one);
-	if (!news)
+	const auto statement = layout_.read_operator_row(table_row);
+	if (!statement)
 	{
-		log_findings("invalid operator row", news.error());
+		log_findings("invalid operator row", statement.error());
 		return;
 	}
-	if (std::holds_alternative<std::monostate>(*news))
+	if (std::holds_alternative<std::monostate>(*statement))
 	{
-		gateway_.unknown().note(proxy::statement_source::operator_row, one.key, layout_.operator_table);
+		gateway_.unknown().note(proxy::statement_source::operator_row, table_row.key, layout_.operator_table);
 	}
-	if (const auto* catalog = std::get_if<routing::catalog_ptr>(&*news))
+	if (const auto* catalog = std::get_if<routing::catalog_ptr>(&*statement))
 	{
 		apply_catalog(*catalog);
 	}
-	if (const auto* order = std::get_if<rollout::shift_order>(&*news))
+	if (const auto* order = std::get_if<rollout::shift_order>(&*statement))
 	{
 		log::write(log::level::info, "version shift ordered",
 			{{"service", order->service.str()}, {"to", order->to_version}, {"order", order->order.value()}});
@@ -244,40 +244,40 @@
 void coordinator::on_replica_rows(const std::vector<row>& rows)
 {
 	const auto now = proxy::steady_now();
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		auto entry = read_replica(one);
+		auto entry = read_replica(table_row);
 		if (entry)
 		{
-			note_unknown_fields(one);
+			note_unknown_fields(table_row);
 			gateway_.replicas().put(std::move(*entry), now);
 			continue;
 		}
-		gateway_.replicas().remove(replica_id{one.key}, now);
+		gateway_.replicas().remove(replica_id{table_row.key}, now);
 	}
 	relay_server_.on_change(layout_.replica_table);
 	expire_replicas();
 }
 
 /// Checked once per replica, as each heartbeat of a cold replica delivers its row again.
-void coordinator::note_unknown_fields(const row& one)
+void coordinator::note_unknown_fields(const row& table_row)
 {
-	if (gateway_.replicas().find(replica_id{one.key}) != nullptr)
+	if (gateway_.replicas().find(replica_id{table_row.key}) != nullptr)
 	{
 		return;
 	}
-	for (const auto& name : layout_.unknown_replica_fields(one))
+	for (const auto& name : layout_.unknown_replica_fields(table_row))
 	{
-		gateway_.unknown().note(proxy::statement_source::replica_entry, name, one.key);
+		gateway_.unknown().note(proxy::statement_source::replica_entry, name, table_row.key);
 	}
 }
 
 void coordinator::on_replicas(const std::vector<row>& rows)
 {
 	std::vector<routing::replica> entries;
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		if (auto entry = read_replica(one))
+		if (auto entry = read_replica(table_row))
 		{
 			entries.push_back(std::move(*entry));
 		}
@@ -290,13 +290,13 @@
 
 /// A malformed entry makes its replica unusable, even if a valid entry was known under its id: another writer
 /// may have overwritten it. The replica's next heartbeat restores it.
-std::optional<routing::replica> coordinator::read_replica(const row& one) const
+std::optional<routing::replica> coordinator::read_replica(const row& table_row) const
 {
-	if (one.removed)
+	if (table_row.removed)
 	{
 		return std::nullopt;
 	}
-	auto entry = layout_.read_replica_row(one);
+	auto entry = layout_.read_replica_row(table_row);
 	if (!entry)
 	{
 		log_findings("invalid replica row", entry.error());
@@ -308,20 +308,20 @@
 void coordinator::on_own_rows(const std::vector<row>& rows)
 {
 	bool vms_changed = false;
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		if (one.key.starts_with(vm_key_prefix))
+		if (table_row.key.starts_with(vm_key_prefix))
 		{
-			on_vm_row(one);
+			on_vm_row(table_row);
 			vms_changed = true;
 		}
-		else if (one.key.starts_with(suspect_key_prefix))
+		else if (table_row.key.starts_with(suspect_key_prefix))
 		{
-			suspect_rows_.on_row(one, proxy::steady_now());
+			suspect_rows_.on_row(table_row, proxy::steady_now());
 		}
-		else if (one.key.starts_with(plan_key_prefix) && !one.removed)
+		else if (table_row.key.starts_with(plan_key_prefix) && !table_row.removed)
 		{
-			on_plan_row(one);
+			on_plan_row(table_row);
 		}
 	}
 	if (vms_changed)
@@ -352,14 +352,14 @@
 	gateway_.vms().set(self_.vm, members, proxy::steady_now());
 }
 
-void coordinator::on_vm_row(const row& one)
+void coordinator::on_vm_row(const row& table_row)
 {
-	if (one.removed)
+	if (table_row.removed)
 	{
-		vms_.erase(vm_id{one.key.substr(vm_key_prefix.size())});
+		vms_.erase(vm_id{table_row.key.substr(vm_key_prefix.size())});
 		return;
 	}
-	if (const auto vm = read_vm(one))
+	if (const auto vm = read_vm(table_row))
 	{
 		vms_[vm->vm] = *vm;
 	}
@@ -369,9 +369,9 @@
 	}
 }
 
-void coordinator::on_plan_row(const row& one)
+void coordinator::on_plan_row(const row& table_row)
 {
-	if (const auto plan = read_plan(one))
+	if (const auto plan = read_plan(table_row))
 	{
 		gateway_.versions().on_plan(*plan, proxy::steady_now());
 	}
@@ -419,47 +419,47 @@
 
 void coordinator::write_due_changes()
 {
-	for (const auto& one : gateway_.versions().due(proxy::steady_now()))
+	for (const auto& due_write : gateway_.versions().due(proxy::steady_now()))
 	{
-		write(one);
+		write(due_write);
 	}
 	schedule_write();
 }
 
-void coordinator::write(const rollout::shift_write& what)
+void coordinator::write(const rollout::shift_write& shift)
 {
 	row_change change;
-	if (what.plan)
+	if (shift.plan)
 	{
-		const auto key = plan_key_prefix + what.plan->service.str();
-		change.conditions.push_back({layout_.own_table, key, what.plan->row});
-		change.puts.push_back({layout_.own_table, key, write_plan(*what.plan)});
-		change.puts.push_back(layout_.status_row(*what.plan));
+		const auto key = plan_key_prefix + shift.plan->service.str();
+		change.conditions.push_back({layout_.own_table, key, shift.plan->row});
+		change.puts.push_back({layout_.own_table, key, write_plan(*shift.plan)});
+		change.puts.push_back(layout_.status_row(*shift.plan));
 		log::write(log::level::info, "writing version shift plan",
-			{{"service", what.plan->service.str()}, {"state", rollout::name_of(what.plan->state)},
-				{"on_row_version", what.plan->row.value()}});
+			{{"service", shift.plan->service.str()}, {"state", rollout::name_of(shift.plan->state)},
+				{"on_row_version", shift.plan->row.value()}});
 	}
-	for (const auto& one : what.evidence)
+	for (const auto& reported : shift.evidence)
 	{
-		const auto& reporter = one.reporter.empty() ? reporter_ : one.reporter;
-		const auto key = one.evidence.service.str() + "/" + reporter;
-		change.puts.push_back({layout_.evidence_table, key, write_evidence(one.evidence)});
+		const auto& reporter = reported.reporter.empty() ? reporter_ : reported.reporter;
+		const auto key = reported.evidence.service.str() + "/" + reporter;
+		change.puts.push_back({layout_.evidence_table, key, write_evidence(reported.evidence)});
 	}
 	shared_store_.change(
-		change, [this](store_result<change_result> answer) { on_written(std::move(answer)); });
+		change, [this](store_result<change_result> result) { on_written(std::move(result)); });
 }
 
-void coordinator::on_written(store_result<change_result> answer)
+void coordinator::on_written(store_result<change_result> result)
 {
-	if (!answer)
+	if (!result)
 	{
-		log::write(log::level::warn, "registry write not confirmed", {{"why", name_of(answer.error())}});
+		log::write(log::level::warn, "registry write not confirmed", {{"why", name_of(result.error())}});
 		return;
 	}
-	if (!answer->done)
+	if (!result->committed)
 	{
 		// Another VM wrote the row first, and its row takes precedence.
-		on_own_rows(answer->rows);
+		on_own_rows(result->rows);
 	}
 }
 } // namespace gingerdyke::control
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -80,9 +80,9 @@
 	const auto now = proxy::steady_now();
 	reports_.set_work(report.reporter, report.work, now);
 	update_remote_work(reports_.work_excluding(reporter_, now));
-	for (const auto& one : report.evidence)
+	for (const auto& evidence : report.evidence)
 	{
-		gateway_.versions().on_relayed_evidence(report.reporter, one, now);
+		gateway_.versions().on_relayed_evidence(report.reporter, evidence, now);
 	}
 	apply_suspensions(report.suspended);
 	apply_suspects(report.suspects);
@@ -128,9 +128,9 @@
 void coordinator::apply_suspects(const std::vector<quarantine::suspicion>& suspects)
 {
 	const auto now = proxy::steady_now();
-	for (const auto& one : suspects)
+	for (const auto& suspicion : suspects)
 	{
-		gateway_.suspects().merge(one, now, now);
+		gateway_.suspects().merge(suspicion, now, now);
 	}
 	if (!suspects.empty())
 	{
@@ -140,9 +140,9 @@
 
 void coordinator::apply_suspensions(const std::vector<rollout::shift_suspension>& suspended)
 {
-	for (const auto& one : suspended)
+	for (const auto& suspension : suspended)
 	{
-		gateway_.versions().on_suspension(one, proxy::steady_now());
+		gateway_.versions().on_suspension(suspension, proxy::steady_now());
 	}
 	if (!suspended.empty())
 	{
@@ -158,9 +158,9 @@
 		vms_.begin(), vms_.end(), [this](const auto& entry) { return entry.second.domain == self_.domain; });
 	const auto scale =
 		local_vms == 0 ? 1.0 : static_cast<double>(vms_.size()) / static_cast<double>(local_vms);
-	for (auto& one : work)
+	for (auto& entry : work)
 	{
-		one.tokens *= scale;
+		entry.tokens *= scale;
 	}
 	gateway_.selector().note_elsewhere(work, proxy::steady_now());
 }
@@ -192,24 +192,24 @@
 
 void coordinator::on_evidence_rows(const std::vector<row>& rows)
 {
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		if (!one.removed)
+		if (!table_row.removed)
 		{
-			on_evidence_row(one);
+			on_evidence_row(table_row);
 		}
 	}
 	schedule_write();
 }
 
-void coordinator::on_evidence_row(const row& one)
+void coordinator::on_evidence_row(const row& table_row)
 {
-	const auto reporter = one.key.substr(one.key.rfind('/') + 1);
+	const auto reporter = table_row.key.substr(table_row.key.rfind('/') + 1);
 	if (reporter == reporter_)
 	{
 		return;
 	}
-	if (const auto evidence = read_evidence(one))
+	if (const auto evidence = read_evidence(table_row))
 	{
 		gateway_.versions().on_evidence(reporter, *evidence, proxy::steady_now());
 	}
--- a/src/control/own_rows.cpp
+++ b/src/control/own_rows.cpp
@@ -31,10 +31,10 @@
 rollout::by_cell<rollout::answer_counts> cells_from_json(const json& value)
 {
 	rollout::by_cell<rollout::answer_counts> seen;
-	for (const auto& one : value)
+	for (const auto& element : value)
 	{
-		seen[one.at(0).get<rollout::cell_index>()] +=
-			{one.at(1).get<std::uint64_t>(), one.at(2).get<std::uint64_t>()};
+		seen[element.at(0).get<rollout::cell_index>()] +=
+			{element.at(1).get<std::uint64_t>(), element.at(2).get<std::uint64_t>()};
 	}
 	return seen;
 }
@@ -74,9 +74,9 @@
 rollout::by_cell<rollout::answer_times> time_cells_from_json(const json& value)
 {
 	rollout::by_cell<rollout::answer_times> seen;
-	for (const auto& one : value)
+	for (const auto& element : value)
 	{
-		seen[one.at(0).get<rollout::cell_index>()] += times_from_json(one.at(1));
+		seen[element.at(0).get<rollout::cell_index>()] += times_from_json(element.at(1));
 	}
 	return seen;
 }
@@ -95,11 +95,11 @@
 rollout::times_by_model models_from_json(const json& value)
 {
 	rollout::times_by_model times;
-	for (const auto& one : value)
+	for (const auto& element : value)
 	{
-		times[one.at("model").get<std::string>()] = {times_from_json(one.at("usual")),
-			times_from_json(one.at("before")), time_cells_from_json(one.at("old")),
-			time_cells_from_json(one.at("new"))};
+		times[element.at("model").get<std::string>()] = {times_from_json(element.at("usual")),
+			times_from_json(element.at("before")), time_cells_from_json(element.at("old")),
+			time_cells_from_json(element.at("new"))};
 	}
 	return times;
 }
@@ -190,9 +190,9 @@
 			rollout::shift_evidence evidence;
 			evidence.service = service_id{value.at("service").get<std::string>()};
 			evidence.order = row_version{value.at("order").get<std::int64_t>()};
-			for (const auto& one : value.at("routes"))
+			for (const auto& route : value.at("routes"))
 			{
-				evidence.seen.by_route[one.at("route").get<std::string>()] = route_from_json(one);
+				evidence.seen.by_route[route.at("route").get<std::string>()] = route_from_json(route);
 			}
 			evidence.seen.late = route_from_json(value.at("late"));
 			evidence.seen.by_model = models_from_json(value.at("models"));
--- a/src/control/relay_client.cpp
+++ b/src/control/relay_client.cpp
@@ -120,9 +120,9 @@
 	finished.timer->cancel();
 	if (result)
 	{
-		for (auto& one : result->rows)
+		for (auto& table_row : result->rows)
 		{
-			one.table = finished.table;
+			table_row.table = finished.table;
 		}
 	}
 	finished.done(std::move(result));
@@ -138,13 +138,13 @@
 	}
 	const auto self = shared_from_this();
 	const auto calls = std::exchange(pending_calls_, {});
-	for (const auto& [call_id, one] : calls)
+	for (const auto& [call_id, call] : calls)
 	{
-		one.timer->cancel();
+		call.timer->cancel();
 	}
-	for (const auto& [call_id, one] : calls)
+	for (const auto& [call_id, call] : calls)
 	{
-		one.done(tl::make_unexpected(store_error::unreachable));
+		call.done(tl::make_unexpected(store_error::unreachable));
 	}
 }
 } // namespace gingerdyke::control
--- a/src/control/relay_codec.cpp
+++ b/src/control/relay_codec.cpp
@@ -112,13 +112,13 @@
 	}
 	const auto& batch = *response.result;
 	message.outcome = outcome_success;
-	for (const auto& one : batch.rows)
+	for (const auto& table_row : batch.rows)
 	{
 		auto& wire_row = message.rows.emplace_back();
-		wire_row.key = one.key;
-		wire_row.value = one.value;
-		wire_row.version = one.version.value();
-		wire_row.removed = one.removed;
+		wire_row.key = table_row.key;
+		wire_row.value = table_row.value;
+		wire_row.version = table_row.version.value();
+		wire_row.removed = table_row.removed;
 	}
 	if (response.packed)
 	{
@@ -187,9 +187,10 @@
 		return response;
 	}
 	row_batch batch;
-	for (const auto& one : message->rows)
+	for (const auto& table_row : message->rows)
 	{
-		batch.rows.push_back({{}, one.key, one.value, row_version{one.version}, one.removed});
+		batch.rows.push_back(
+			{{}, table_row.key, table_row.value, row_version{table_row.version}, table_row.removed});
 	}
 	if (message->__isset.packed)
 	{
--- a/src/control/report_board.cpp
+++ b/src/control/report_board.cpp
@@ -20,9 +20,9 @@
 		{
 			continue;
 		}
-		for (const auto& one : report.work)
+		for (const auto& entry : report.work)
 		{
-			sums[one.replica] += one.tokens;
+			sums[entry.replica] += entry.tokens;
 		}
 	}
 	std::vector<routing::replica_work> all;
--- a/src/control/report_message.cpp
+++ b/src/control/report_message.cpp
@@ -13,11 +13,11 @@
 {
 	std::vector<wire::RelayWork> all;
 	all.reserve(work.size());
-	for (const auto& one : work)
+	for (const auto& entry : work)
 	{
 		auto& added = all.emplace_back();
-		added.replica = one.replica.str();
-		added.tokens = static_cast<std::int64_t>(one.tokens);
+		added.replica = entry.replica.str();
+		added.tokens = static_cast<std::int64_t>(entry.tokens);
 	}
 	return all;
 }
@@ -26,9 +26,9 @@
 {
 	std::vector<routing::replica_work> all;
 	all.reserve(work.size());
-	for (const auto& one : work)
+	for (const auto& entry : work)
 	{
-		all.push_back({replica_id{one.replica}, static_cast<double>(one.tokens)});
+		all.push_back({replica_id{entry.replica}, static_cast<double>(entry.tokens)});
 	}
 	return all;
 }
@@ -62,10 +62,10 @@
 rollout::by_cell<rollout::answer_counts> from_wire(const std::vector<wire::RelayCellCounts>& cells)
 {
 	rollout::by_cell<rollout::answer_counts> seen;
-	for (const auto& one : cells)
+	for (const auto& entry : cells)
 	{
-		seen[static_cast<rollout::cell_index>(one.cell)] +=
-			{static_cast<std::uint64_t>(one.answers), static_cast<std::uint64_t>(one.failed)};
+		seen[static_cast<rollout::cell_index>(entry.cell)] +=
+			{static_cast<std::uint64_t>(entry.answers), static_cast<std::uint64_t>(entry.failed)};
 	}
 	return seen;
 }
@@ -120,9 +120,9 @@
 rollout::by_cell<rollout::answer_times> from_wire(const std::vector<wire::RelayCellTimes>& cells)
 {
 	rollout::by_cell<rollout::answer_times> seen;
-	for (const auto& one : cells)
+	for (const auto& entry : cells)
 	{
-		seen[static_cast<rollout::cell_index>(one.cell)] += from_wire(one.levels);
+		seen[static_cast<rollout::cell_index>(entry.cell)] += from_wire(entry.levels);
 	}
 	return seen;
 }
@@ -145,10 +145,10 @@
 rollout::times_by_model from_wire(const std::vector<wire::RelayTimeEvidence>& times)
 {
 	rollout::times_by_model all;
-	for (const auto& one : times)
+	for (const auto& model_times : times)
 	{
-		all[one.model] = {from_wire(one.usual), from_wire(one.before), from_wire(one.old_version),
-			from_wire(one.new_version)};
+		all[model_times.model] = {from_wire(model_times.usual), from_wire(model_times.before),
+			from_wire(model_times.old_version), from_wire(model_times.new_version)};
 	}
 	return all;
 }
@@ -171,9 +171,9 @@
 rollout::shift_evidence from_wire(const wire::RelayEvidence& message)
 {
 	rollout::shift_evidence evidence{service_id{message.service_name}, row_version{message.order}, {}};
-	for (const auto& one : message.routes)
+	for (const auto& route : message.routes)
 	{
-		evidence.seen.by_route[one.route] = from_wire(one);
+		evidence.seen.by_route[route.route] = from_wire(route);
 	}
 	evidence.seen.late = from_wire(message.late);
 	evidence.seen.by_model = from_wire(message.models);
@@ -185,11 +185,11 @@
 {
 	std::vector<wire::RelaySuspension> all;
 	all.reserve(suspended.size());
-	for (const auto& one : suspended)
+	for (const auto& suspension : suspended)
 	{
 		auto& added = all.emplace_back();
-		added.service_name = one.service.str();
-		added.order = one.order.value();
+		added.service_name = suspension.service.str();
+		added.order = suspension.order.value();
 	}
 	return all;
 }
@@ -198,9 +198,9 @@
 {
 	std::vector<rollout::shift_suspension> all;
 	all.reserve(suspended.size());
-	for (const auto& one : suspended)
+	for (const auto& suspension : suspended)
 	{
-		all.push_back({service_id{one.service_name}, row_version{one.order}});
+		all.push_back({service_id{suspension.service_name}, row_version{suspension.order}});
 	}
 	return all;
 }
@@ -230,17 +230,17 @@
 {
 	std::vector<wire::RelaySuspicion> all;
 	all.reserve(suspects.size());
-	for (const auto& one : suspects)
+	for (const auto& suspicion : suspects)
 	{
 		auto& added = all.emplace_back();
-		added.key = one.key.str();
-		for (const auto& [life, together] : one.ended)
+		added.key = suspicion.key.str();
+		for (const auto& [life, together] : suspicion.ended)
 		{
 			auto& end = added.ended.emplace_back();
 			end.life = life.value();
 			end.together = to_wire(together);
 		}
-		added.survived = to_wire(one.survived);
+		added.survived = to_wire(suspicion.survived);
 	}
 	return all;
 }
@@ -249,15 +249,15 @@
 {
 	std::vector<quarantine::suspicion> all;
 	all.reserve(suspects.size());
-	for (const auto& one : suspects)
+	for (const auto& suspicion : suspects)
 	{
 		auto& added = all.emplace_back();
-		added.key = quarantine::request_key{one.key};
-		for (const auto& end : one.ended)
+		added.key = quarantine::request_key{suspicion.key};
+		for (const auto& end : suspicion.ended)
 		{
 			added.ended[quarantine::process_life{end.life}] = lives_from_wire(end.together);
 		}
-		added.survived = lives_from_wire(one.survived);
+		added.survived = lives_from_wire(suspicion.survived);
 	}
 	return all;
 }
@@ -265,16 +265,16 @@
 {
 	std::vector<wire::RelayLimit> all;
 	all.reserve(limits.size());
-	for (const auto& one : limits)
+	for (const auto& reported : limits)
 	{
 		auto& added = all.emplace_back();
-		added.replica = one.replica.str();
-		added.incarnation = one.incarnation.value();
-		if (one.requests_per_s)
+		added.replica = reported.replica.str();
+		added.incarnation = reported.incarnation.value();
+		if (reported.requests_per_s)
 		{
-			added.__set_requests_per_s(*one.requests_per_s);
+			added.__set_requests_per_s(*reported.requests_per_s);
 		}
-		added.age_us = one.age.count();
+		added.age_us = reported.age.count();
 	}
 	return all;
 }
@@ -283,11 +283,12 @@
 {
 	std::vector<routing::limit_news> all;
 	all.reserve(limits.size());
-	for (const auto& one : limits)
+	for (const auto& reported : limits)
 	{
-		const auto limit = one.__isset.requests_per_s ? std::optional{one.requests_per_s} : std::nullopt;
-		all.push_back({replica_id{one.replica}, routing::replica_incarnation{one.incarnation}, limit,
-			duration{one.age_us}});
+		const auto limit =
+			reported.__isset.requests_per_s ? std::optional{reported.requests_per_s} : std::nullopt;
+		all.push_back({replica_id{reported.replica}, routing::replica_incarnation{reported.incarnation},
+			limit, duration{reported.age_us}});
 	}
 	return all;
 }
@@ -298,9 +299,9 @@
 	wire::RelayReport message;
 	message.reporter = report.reporter;
 	message.work = to_wire(report.work);
-	for (const auto& one : report.evidence)
+	for (const auto& evidence : report.evidence)
 	{
-		message.evidence.push_back(to_wire(one));
+		message.evidence.push_back(to_wire(evidence));
 	}
 	if (!report.suspended.empty())
 	{
@@ -321,9 +322,9 @@
 {
 	peer_report report{message.reporter, from_wire(message.work), {}, from_wire(message.suspended),
 		from_wire(message.suspects), from_wire(message.limits)};
-	for (const auto& one : message.evidence)
+	for (const auto& evidence : message.evidence)
 	{
-		report.evidence.push_back(from_wire(one));
+		report.evidence.push_back(from_wire(evidence));
 	}
 	return report;
 }
--- a/src/control/row_packing.cpp
+++ b/src/control/row_packing.cpp
@@ -75,13 +75,13 @@
 {
 	wire::RelayRows message;
 	message.rows.reserve(rows.size());
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
 		auto& added = message.rows.emplace_back();
-		added.key = one.key;
-		added.value = one.value;
-		added.version = one.version.value();
-		added.removed = one.removed;
+		added.key = table_row.key;
+		added.value = table_row.value;
+		added.version = table_row.version.value();
+		added.removed = table_row.removed;
 	}
 	const auto buffer = std::make_shared<TMemoryBuffer>();
 	TCompactProtocol protocol{buffer};
@@ -110,9 +110,10 @@
 	}
 	std::vector<row> rows;
 	rows.reserve(message.rows.size());
-	for (auto& one : message.rows)
+	for (auto& table_row : message.rows)
 	{
-		rows.push_back({{}, std::move(one.key), std::move(one.value), row_version{one.version}, one.removed});
+		rows.push_back({{}, std::move(table_row.key), std::move(table_row.value),
+			row_version{table_row.version}, table_row.removed});
 	}
 	return rows;
 }
--- a/src/control/shared_store.cpp
+++ b/src/control/shared_store.cpp
@@ -23,9 +23,10 @@
 	read({table, after, wait, std::move(done), 0, tuning_.max_follow_sources});
 }
 
-void shared_store::change(const row_change& what, std::function<void(store_result<change_result>)> done)
+void shared_store::change(
+	const row_change& transaction, std::function<void(store_result<change_result>)> done)
 {
-	registry_.change(what, std::move(done));
+	registry_.change(transaction, std::move(done));
 }
 
 /// Calls to other VMs continue: if the registry rejects calls several times a second, calls to other VMs that
--- a/src/control/source_selector.cpp
+++ b/src/control/source_selector.cpp
@@ -38,7 +38,7 @@
 
 void source_selector::set_peers(std::vector<peer> peers)
 {
-	std::erase_if(peers, [this](const peer& one) { return one.vm == self_.vm; });
+	std::erase_if(peers, [this](const peer& candidate) { return candidate.vm == self_.vm; });
 	std::sort(peers.begin(), peers.end(),
 		[this](const peer& a, const peer& b)
 		{
@@ -57,16 +57,16 @@
 		return std::nullopt;
 	}
 	std::size_t remote_sources = 0;
-	for (const auto& one : peers_)
+	for (const auto& candidate : peers_)
 	{
-		if (one.domain != self_.domain &&
+		if (candidate.domain != self_.domain &&
 			(!registry_backing_off || ++remote_sources > tuning_.max_remote_sources))
 		{
 			break;
 		}
-		if (is_usable(one, table, now))
+		if (is_usable(candidate, table, now))
 		{
-			return one;
+			return candidate;
 		}
 	}
 	return std::nullopt;
@@ -76,12 +76,13 @@
 std::vector<double> source_selector::local_links() const
 {
 	std::vector<double> links;
-	const auto link_of = [](const peer& one) { return std::max(1.0, static_cast<double>(one.link_mbps)); };
-	for (const auto& one : peers_)
+	const auto link_of = [](const peer& candidate)
+	{ return std::max(1.0, static_cast<double>(candidate.link_mbps)); };
+	for (const auto& candidate : peers_)
 	{
-		if (one.domain == self_.domain)
+		if (candidate.domain == self_.domain)
 		{
-			links.push_back(link_of(one));
+			links.push_back(link_of(candidate));
 		}
 	}
 	links.insert(links.begin() + static_cast<std::ptrdiff_t>(rank()), link_of(self_));
@@ -139,30 +140,33 @@
 	}
 	for (std::size_t i = 0; i < readers; ++i)
 	{
-		const auto& one = peers_[(first + i) % readers];
-		if (is_usable(one, table, now))
+		const auto& candidate = peers_[(first + i) % readers];
+		if (is_usable(candidate, table, now))
 		{
-			return one;
+			return candidate;
 		}
 	}
 	return choose(table, now);
 }
 
-bool source_selector::is_usable(const peer& one, const std::string& table, instant now) const
+bool source_selector::is_usable(const peer& candidate, const std::string& table, instant now) const
 {
 	const auto is_stale = [&](const std::string& name)
 	{
-		const auto stale = stale_copies_.find({one.vm, name});
+		const auto stale = stale_copies_.find({candidate.vm, name});
 		return stale != stale_copies_.end() && stale->second > now;
 	};
-	return !is_backing_off(one.vm.str(), now) && !is_stale(table) && !is_stale(all_tables);
+	return !is_backing_off(candidate.vm.str(), now) && !is_stale(table) && !is_stale(all_tables);
 }
 
 bool source_selector::should_read_registry(const std::string& table, instant now) const
 {
 	const auto preferred = std::count_if(peers_.begin(), peers_.end(),
-		[&](const peer& one)
-		{ return one.domain == self_.domain && ranks_before(one, self_) && is_usable(one, table, now); });
+		[&](const peer& candidate)
+		{
+			return candidate.domain == self_.domain && ranks_before(candidate, self_) &&
+				   is_usable(candidate, table, now);
+		});
 	return static_cast<std::size_t>(preferred) < tuning_.readers;
 }
 
@@ -176,7 +180,8 @@
 std::size_t source_selector::rank() const
 {
 	const auto preferred = std::count_if(peers_.begin(), peers_.end(),
-		[this](const peer& one) { return one.domain == self_.domain && ranks_before(one, self_); });
+		[this](const peer& candidate)
+		{ return candidate.domain == self_.domain && ranks_before(candidate, self_); });
 	return static_cast<std::size_t>(preferred);
 }
 
--- a/src/control/suspect_rows.cpp
+++ b/src/control/suspect_rows.cpp
@@ -23,9 +23,9 @@
 std::set<quarantine::process_life> lives_from_json(const json& value)
 {
 	std::set<quarantine::process_life> all;
-	for (const auto& one : value)
+	for (const auto& element : value)
 	{
-		all.insert(quarantine::process_life{one.get<std::int64_t>()});
+		all.insert(quarantine::process_life{element.get<std::int64_t>()});
 	}
 	return all;
 }
@@ -43,10 +43,10 @@
 quarantine::ended_lives ended_from_json(const json& value)
 {
 	quarantine::ended_lives all;
-	for (const auto& one : value)
+	for (const auto& element : value)
 	{
-		all[quarantine::process_life{one.at("life").get<std::int64_t>()}] =
-			lives_from_json(one.at("together"));
+		all[quarantine::process_life{element.at("life").get<std::int64_t>()}] =
+			lives_from_json(element.at("together"));
 	}
 	return all;
 }
@@ -57,10 +57,10 @@
 }
 } // namespace
 
-std::string write_suspicion(const stored_suspicion& what)
+std::string write_suspicion(const stored_suspicion& stored)
 {
-	return json{{"ended", ended_to_json(what.known.ended)}, {"survived", lives_to_json(what.known.survived)},
-		{"last_end_us", what.last_end.count()}}
+	return json{{"ended", ended_to_json(stored.known.ended)},
+		{"survived", lives_to_json(stored.known.survived)}, {"last_end_us", stored.last_end.count()}}
 		.dump();
 }
 
@@ -87,33 +87,33 @@
 void suspect_rows::note_registry_time(registry_time at, instant now)
 {
 	registry_clock_offset_ = at - now.time_since_epoch();
-	for (const auto& one : std::exchange(rows_before_clock_, {}))
+	for (const auto& table_row : std::exchange(rows_before_clock_, {}))
 	{
-		on_row(one, now);
+		on_row(table_row, now);
 	}
 }
 
-void suspect_rows::on_row(const row& one, instant now)
+void suspect_rows::on_row(const row& table_row, instant now)
 {
 	if (!registry_clock_offset_)
 	{
-		rows_before_clock_.push_back(one);
+		rows_before_clock_.push_back(table_row);
 		return;
 	}
-	if (one.removed)
+	if (table_row.removed)
 	{
-		rows_.erase(one.key);
-		suspects_.forget(quarantine::request_key{one.key.substr(suspect_key_prefix.size())});
+		rows_.erase(table_row.key);
+		suspects_.forget(quarantine::request_key{table_row.key.substr(suspect_key_prefix.size())});
 		return;
 	}
-	apply_row(one, now);
+	apply_row(table_row, now);
 }
 
-void suspect_rows::apply_row(const row& one, instant now)
+void suspect_rows::apply_row(const row& table_row, instant now)
 {
-	auto& known = rows_[one.key];
-	known.version = one.version;
-	const auto read = read_suspicion(one);
+	auto& known = rows_[table_row.key];
+	known.version = table_row.version;
+	const auto read = read_suspicion(table_row);
 	if (!read)
 	{
 		log::write(log::level::error, "invalid suspected request row", {{"findings", to_text(read.error())}});
@@ -170,10 +170,10 @@
 	const auto change = make_change(to_store, now);
 	is_writing_ = true;
 	registry_.change(change,
-		[this, to_store, change](const store_result<change_result>& answer)
+		[this, to_store, change](const store_result<change_result>& result)
 		{
 			is_writing_ = false;
-			on_written(to_store, change, answer);
+			on_written(to_store, change, result);
 		});
 	remove_expired(now);
 }
@@ -181,11 +181,11 @@
 row_change suspect_rows::make_change(const std::vector<quarantine::suspicion>& to_store, instant now) const
 {
 	row_change change;
-	for (const auto& one : to_store)
+	for (const auto& suspicion : to_store)
 	{
-		const auto key = row_key_of(one.key);
-		const auto last_end = suspects_.last_end(one.key).value_or(now);
-		const stored_suspicion stored{one, last_end.time_since_epoch() + *registry_clock_offset_};
+		const auto key = row_key_of(suspicion.key);
+		const auto last_end = suspects_.last_end(suspicion.key).value_or(now);
+		const stored_suspicion stored{suspicion, last_end.time_since_epoch() + *registry_clock_offset_};
 		change.conditions.push_back(unchanged_condition(key));
 		change.puts.push_back({table_, key, write_suspicion(stored)});
 	}
@@ -199,25 +199,25 @@
 }
 
 void suspect_rows::on_written(const std::vector<quarantine::suspicion>& written, const row_change& change,
-	const store_result<change_result>& answer)
+	const store_result<change_result>& result)
 {
 	const auto now = proxy::steady_now();
-	if (!answer)
+	if (!result)
 	{
 		log::write(log::level::warn, "storing suspected requests failed",
-			{{"why", name_of(answer.error())}, {"count", written.size()}});
+			{{"why", name_of(result.error())}, {"count", written.size()}});
 		write_after(tuning_.retry_delay);
 		return;
 	}
-	if (!answer->done)
+	if (!result->committed)
 	{
-		on_conflict(change, answer->rows, now);
+		on_conflict(change, result->rows, now);
 		return;
 	}
 	log::write(log::level::info, "suspected requests stored", {{"count", written.size()}});
-	for (const auto& one : written)
+	for (const auto& suspicion : written)
 	{
-		suspects_.note_stored(one, suspects_.last_end(one.key).value_or(now), now);
+		suspects_.note_stored(suspicion, suspects_.last_end(suspicion.key).value_or(now), now);
 	}
 	arm();
 }
@@ -227,17 +227,17 @@
 {
 	log::write(
 		log::level::info, "suspected requests changed by another VM", {{"count", current_rows.size()}});
-	for (const auto& one : current_rows)
+	for (const auto& table_row : current_rows)
 	{
-		on_row(one, now);
+		on_row(table_row, now);
 	}
-	for (const auto& one : attempted.conditions)
+	for (const auto& condition : attempted.conditions)
 	{
-		const bool still_exists = std::any_of(
-			current_rows.begin(), current_rows.end(), [&](const row& other) { return other.key == one.key; });
-		if (!still_exists && one.version != row_version{0})
+		const bool still_exists = std::any_of(current_rows.begin(), current_rows.end(),
+			[&](const row& other) { return other.key == condition.key; });
+		if (!still_exists && condition.version != row_version{0})
 		{
-			on_row({table_, one.key, {}, one.version, true}, now);
+			on_row({table_, condition.key, {}, condition.version, true}, now);
 		}
 	}
 	arm();
@@ -261,16 +261,16 @@
 		return;
 	}
 	registry_.change(change,
-		[this, change](const store_result<change_result>& answer)
+		[this, change](const store_result<change_result>& result)
 		{
-			if (!answer)
+			if (!result)
 			{
 				log::write(log::level::warn, "removing expired suspected requests failed",
-					{{"why", name_of(answer.error())}});
+					{{"why", name_of(result.error())}});
 			}
-			else if (!answer->done)
+			else if (!result->committed)
 			{
-				on_conflict(change, answer->rows, proxy::steady_now());
+				on_conflict(change, result->rows, proxy::steady_now());
 			}
 		});
 }
--- a/src/control/table_cache.cpp
+++ b/src/control/table_cache.cpp
@@ -21,9 +21,9 @@
 void table_cache::replace(const std::vector<row>& rows, row_version newest)
 {
 	std::map<std::string, row> next;
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		next[one.key] = one;
+		next[table_row.key] = table_row;
 	}
 	for (auto& [key, known] : rows_)
 	{
@@ -43,9 +43,9 @@
 		history_start_ = newest;
 	}
 	rows_.clear();
-	for (const auto& [key, one] : next)
+	for (const auto& [key, table_row] : next)
 	{
-		put(one);
+		put(table_row);
 	}
 	newest_ = std::max(newest_, newest);
 	prune_tombstones();
@@ -54,13 +54,13 @@
 std::vector<row> table_cache::apply(const std::vector<row>& rows, row_version newest)
 {
 	std::set<std::string> changed_keys;
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		const auto known = rows_.find(one.key);
-		if (known == rows_.end() || known->second.version < one.version)
+		const auto known = rows_.find(table_row.key);
+		if (known == rows_.end() || known->second.version < table_row.version)
 		{
-			put(one);
-			changed_keys.insert(one.key);
+			put(table_row);
+			changed_keys.insert(table_row.key);
 		}
 	}
 	std::vector<row> changed_rows;
@@ -75,10 +75,10 @@
 	return changed_rows;
 }
 
-void table_cache::put(const row& one)
+void table_cache::put(const row& table_row)
 {
-	rows_[one.key] = one;
-	newest_change_ = std::max(newest_change_, one.version);
+	rows_[table_row.key] = table_row;
+	newest_change_ = std::max(newest_change_, table_row.version);
 }
 
 void table_cache::prune_tombstones()
@@ -129,12 +129,12 @@
 	{
 		return tl::make_unexpected(store_error::history_gone);
 	}
-	for (const auto& [key, one] : rows_)
+	for (const auto& [key, table_row] : rows_)
 	{
-		const bool is_included = after ? one.version > *after : !one.removed;
+		const bool is_included = after ? table_row.version > *after : !table_row.removed;
 		if (is_included)
 		{
-			batch->rows.push_back(one);
+			batch->rows.push_back(table_row);
 		}
 	}
 	std::sort(batch->rows.begin(), batch->rows.end(), has_lower_version);
--- a/src/control/table_follower.cpp
+++ b/src/control/table_follower.cpp
@@ -133,8 +133,8 @@
 	follow();
 }
 
-/// Logs rows that were dropped because the same answer held a newer change of the row, or because the row was
-/// known already.
+/// Logs rows that were dropped because the same response held a newer change of the row, or because the row
+/// was known already.
 void table_follower::log_superseded(std::size_t rows, std::size_t changed_rows) const
 {
 	if (changed_rows < rows)
@@ -144,7 +144,7 @@
 	}
 }
 
-/// Returns when the rows of an answer were the newest: the answer was given at least `held` after the call
+/// Returns when the rows of a response were the newest: the response was given at least `held` after the call
 /// was sent, and its rows were `age` old by then.
 instant table_follower::newest_at(instant sent_at, const row_batch& batch)
 {
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -41,17 +41,17 @@
 	++generation_;
 	by_id_.clear();
 	live_entries_.clear();
-	for (const auto& one : list_.members)
+	for (const auto& listed : list_.members)
 	{
-		by_id_[one.vm] = one;
+		by_id_[listed.vm] = listed;
 	}
 	by_id_.try_emplace(self_.vm, self_);
-	for (const auto& [id, one] : by_id_)
+	for (const auto& [id, vm_member] : by_id_)
 	{
-		const bool is_live = one.state == member_state::live && !announced_leaving_.contains(id);
-		if (one.kind == member_kind::entry && (is_live || id == self_.vm))
+		const bool is_live = vm_member.state == member_state::live && !announced_leaving_.contains(id);
+		if (vm_member.kind == member_kind::entry && (is_live || id == self_.vm))
 		{
-			live_entries_[one.failure_domain].push_back(id);
+			live_entries_[vm_member.failure_domain].push_back(id);
 		}
 	}
 }
--- a/tests/control/peer_report.cpp
+++ b/tests/control/peer_report.cpp
@@ -67,8 +67,8 @@
 	const auto port = free_port(context);
 	REQUIRE_FALSE(server.listen({"127.0.0.1", port}));
 	std::optional<peer_summary> summary;
-	const auto client = std::make_shared<relay_client>(
-		context, make_peer("other", "a", port), [&](const peer_summary& one) { summary = one; });
+	const auto client = std::make_shared<relay_client>(context, make_peer("other", "a", port),
+		[&](const peer_summary& received_summary) { summary = received_summary; });
 	rollout::shift_evidence seen{service_id{"s"}, row_version{12}, {}};
 	seen.seen.by_route["r"].before = {70, 2};
 	seen.seen.by_route["r"].old_version[30] = {50, 1};
--- a/tests/control/row_packing.cpp
+++ b/tests/control/row_packing.cpp
@@ -31,9 +31,9 @@
 {
 	const auto rows = replicas(3000);
 	std::size_t bytes = 0;
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		bytes += one.key.size() + one.value.size();
+		bytes += table_row.key.size() + table_row.value.size();
 	}
 	const auto packed = pack_rows(rows);
 	CHECK(packed.size() * 6 < bytes);
--- a/tests/control/shared_store.cpp
+++ b/tests/control/shared_store.cpp
@@ -16,10 +16,11 @@
 		std::vector<peer> peers;
 		for (auto* server : {&first_server, &second_server})
 		{
-			auto one = make_peer(("peer" + std::to_string(peers.size())).c_str(), "a", free_port(context));
-			one.link_mbps = 10;
-			REQUIRE_FALSE(server->listen(one.address));
-			peers.push_back(one);
+			auto source_peer =
+				make_peer(("peer" + std::to_string(peers.size())).c_str(), "a", free_port(context));
+			source_peer.link_mbps = 10;
+			REQUIRE_FALSE(server->listen(source_peer.address));
+			peers.push_back(source_peer);
 		}
 		sources.set_peers(std::move(peers));
 	}
@@ -152,7 +153,7 @@
 	world.read_from_registry("t");
 	world.follow("t", seconds{100});
 	REQUIRE(world.registry.follows.size() == 1);
-	// The registry must answer at once, as a held answer would come too late.
+	// The registry must answer at once, as a held response would come too late.
 	CHECK(world.registry.follows.front().wait == duration{0});
 }
 
--- a/tests/control/source_selector.cpp
+++ b/tests/control/source_selector.cpp
@@ -9,9 +9,9 @@
 {
 	const std::vector<peer> all{make_peer("vm1"), make_peer("vm2"), make_peer("vm3"), make_peer("vm4")};
 	std::vector<std::pair<std::string, source_selector>> selectors;
-	for (const auto& one : all)
+	for (const auto& candidate : all)
 	{
-		selectors.emplace_back(one.vm.str(), source_selector{one});
+		selectors.emplace_back(candidate.vm.str(), source_selector{candidate});
 		selectors.back().second.set_peers(all);
 	}
 	const auto reader_of = [&](const source_selector& of, const std::string& self)
@@ -125,12 +125,12 @@
 	auto large = make_peer("vm3");
 	large.link_mbps = 200;
 	const std::vector<peer> all{make_peer("vm1"), make_peer("vm2"), large, make_peer("vm4")};
-	for (const auto& one : all)
+	for (const auto& candidate : all)
 	{
-		source_selector selector{one};
+		source_selector selector{candidate};
 		selector.set_peers(all);
 		const auto source = selector.choose("t", start);
-		CHECK((source ? source->vm : one.vm) == large.vm);
+		CHECK((source ? source->vm : candidate.vm) == large.vm);
 	}
 }
 
@@ -158,9 +158,9 @@
 	unsigned readers = 0;
 	for (std::size_t i = 0; i < count; ++i)
 	{
-		source_selector one{peers[i]};
-		one.set_peers(peers);
-		const auto source = one.choose_for_full_read("t", start);
+		source_selector selector{peers[i]};
+		selector.set_peers(peers);
+		const auto source = selector.choose_for_full_read("t", start);
 		if (!source)
 		{
 			++readers;
@@ -189,9 +189,9 @@
 		{
 			continue;
 		}
-		source_selector one{self};
-		one.set_peers(peers);
-		const auto source = one.choose_for_full_read("t", start);
+		source_selector selector{self};
+		selector.set_peers(peers);
+		const auto source = selector.choose_for_full_read("t", start);
 		CHECK(source.has_value() == (self.link_mbps == 0));
 		CHECK((!source || source->link_mbps == 200));
 	}
@@ -203,16 +203,16 @@
 	std::optional<peer> last;
 	for (const auto& self : peers)
 	{
-		source_selector one{self};
-		one.set_peers(peers);
-		const auto first = one.choose_for_full_read("t", start);
+		source_selector selector{self};
+		selector.set_peers(peers);
+		const auto first = selector.choose_for_full_read("t", start);
 		if (!first || self.domain.str() != "a")
 		{
 			continue;
 		}
 		last = self;
-		one.note_unusable(first, start);
-		const auto second = one.choose_for_full_read("t", start);
+		selector.note_unusable(first, start);
+		const auto second = selector.choose_for_full_read("t", start);
 		REQUIRE(second);
 		CHECK(second->vm != first->vm);
 	}
--- a/tests/control/suspect_rows.cpp
+++ b/tests/control/suspect_rows.cpp
@@ -136,8 +136,8 @@
 TEST_CASE("many rows are written and removed in transactions within the registry's limit", "[quarantine]")
 {
 	constexpr std::size_t max_entries = 100;
-	const auto entries = [](const row_change& one)
-	{ return one.conditions.size() + one.puts.size() + one.removals.size(); };
+	const auto entries = [](const row_change& change)
+	{ return change.conditions.size() + change.puts.size() + change.removals.size(); };
 	stored_suspects vm;
 	std::vector<request_key> many;
 	for (int i = 0; i < 150; ++i)
@@ -164,9 +164,9 @@
 			vm.store.answer(change_result{true, {}});
 		}
 	}
-	for (const auto& one : vm.store.changes)
+	for (const auto& change : vm.store.changes)
 	{
-		CHECK(entries(one) <= max_entries);
+		CHECK(entries(change) <= max_entries);
 	}
 	CHECK(vm.list.unstored(false, proxy::steady_now()).empty());
 }
@@ -198,12 +198,12 @@
 	}
 	run_until(vm.context, [&] { return !vm.store.changes.empty(); });
 	stored_suspects other;
-	auto one = vm.stored_row();
-	other.rows.on_row(one, proxy::steady_now());
+	auto stored = vm.stored_row();
+	other.rows.on_row(stored, proxy::steady_now());
 	CHECK(other.list.is_held(request_key{"k"}, proxy::steady_now()));
 	CHECK(other.list.unstored(true, proxy::steady_now()).empty());
-	one.removed = true;
-	other.rows.on_row(one, proxy::steady_now());
+	stored.removed = true;
+	other.rows.on_row(stored, proxy::steady_now());
 	CHECK_FALSE(other.list.last_end(request_key{"k"}));
 }
 
--- a/tests/control/table_consistency.cpp
+++ b/tests/control/table_consistency.cpp
@@ -14,14 +14,14 @@
 /// Applies rows in order, as the consumers of a followed table do.
 void apply_rows(row_values& into, const std::vector<row>& rows)
 {
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		if (one.removed)
+		if (table_row.removed)
 		{
-			into.erase(one.key);
+			into.erase(table_row.key);
 			continue;
 		}
-		into[one.key] = one.value;
+		into[table_row.key] = table_row.value;
 	}
 }
 
@@ -76,16 +76,16 @@
 	[[nodiscard]] std::vector<row> full_table() const
 	{
 		std::map<std::string, row> now;
-		for (const auto& one : changes)
+		for (const auto& change : changes)
 		{
-			now[one.key] = one;
+			now[change.key] = change;
 		}
 		std::vector<row> all;
-		for (const auto& [key, one] : now)
+		for (const auto& [key, latest] : now)
 		{
-			if (!one.removed)
+			if (!latest.removed)
 			{
-				all.push_back(one);
+				all.push_back(latest);
 			}
 		}
 		return all;
@@ -105,7 +105,7 @@
 			const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 40));
 			for (const auto step : steps)
 			{
-				// Most steps are changes, so that one answer often holds several changes of a row.
+				// Most steps are changes, so that one response often holds several changes of a row.
 				constexpr int changes = 32;
 				if (step < changes)
 				{
@@ -113,7 +113,7 @@
 				}
 				else if (step < changes + 4)
 				{
-					// Repeats part of the history: an answer may contain changes that are already known.
+					// Repeats part of the history: a response may contain changes that are already known.
 					const auto from =
 						row_version{std::max<std::int64_t>(0, reader.resume_version.value() - step % 3)};
 					reader.apply_changes(registry.after(from), registry.newest());
@@ -141,7 +141,7 @@
 		});
 }
 
-TEST_CASE("only the last of several changes of a row in one answer is applied", "[cache]")
+TEST_CASE("only the last of several changes of a row in one response is applied", "[cache]")
 {
 	table_cache cache{"t"};
 	const auto changed_rows =
