--- a/tests/platform/platform.cpp
+++ b/tests/platform/platform.cpp
@@ -123,14 +123,14 @@
 	client.change({{{"own", "k", control::row_version{0}}}, {{"own", "k", "\"value\""}}, {}},
 		[&](control::store_result<control::change_result> result) { changed = std::move(result); });
 	run_until(context, [&] { return changed.has_value(); });
-	CHECK((*changed)->done);
+	CHECK((*changed)->committed);
 	CHECK(registry.value("own", "k") == "value");
 
 	changed.reset();
 	client.change({{{"own", "k", control::row_version{0}}}, {{"own", "k", "\"other\""}}, {}},
 		[&](control::store_result<control::change_result> result) { changed = std::move(result); });
 	run_until(context, [&] { return changed.has_value(); });
-	CHECK_FALSE((*changed)->done);
+	CHECK_FALSE((*changed)->committed);
 	REQUIRE((*changed)->rows.size() == 1);
 	CHECK((*changed)->rows.front().value == "\"value\"");
 
