--- a/tests/control/relay.cpp
+++ b/tests/control/relay.cpp
@@ -8,7 +8,7 @@
 TEST_CASE("frames round-trip and malformed frames are rejected", "[relay]")
 {
 	relay_response response;
-	response.call = 9;
+	response.call_id = 9;
 	row_batch batch;
 	batch.rows = {make_row("k", 4, "v"), make_row("g", 5, "", true)};
 	batch.newest = row_version{6};
