--- a/include/gingerdyke/rollout/answer_cells.hpp
+++ b/include/gingerdyke/rollout/answer_cells.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Counts of answers by group of replicas, so that a version's sound replicas can be told from its sick ones.
+// Response counts by group of replicas, used to separate a version's healthy replicas from its faulty ones.
 #pragma once
 
 #include <bitset>
@@ -9,7 +9,7 @@
 
 namespace gingerdyke::rollout
 {
-/// \brief Answers, and those among them that were bad: failures, or slow ones.
+/// \brief Number of responses, and how many of them were bad: failed, or slow when latency is counted.
 struct answer_counts
 {
 	std::uint64_t answers{};
@@ -19,54 +19,54 @@
 	answer_counts& operator-=(const answer_counts& other) noexcept;
 	bool operator==(const answer_counts&) const = default;
 
-	/// \brief Share of bad ones; 0 where there are no answers.
-	[[nodiscard]] double share() const noexcept;
+	/// \brief Ratio of bad responses to all responses; 0 if there are none.
+	[[nodiscard]] double bad_ratio() const noexcept;
 };
 
-/// \brief Groups into which a version's replicas fall by hash. A few replicas that fail for a reason of their
-/// own spoil some groups, a bad version all of them.
-inline constexpr std::size_t replica_groups = 16;
+/// \brief Number of groups that a version's replicas are hashed into. A few replicas with a fault of their
+/// own affect some groups, a bad version affects all of them.
+inline constexpr std::size_t replica_group_count = 16;
 
-/// \brief The answers of each group fall into two halves at random: groups are ranked by one half and judged
-/// by the other. Ranked and judged by the same few answers, the better groups would be the lucky ones, and
-/// of a version that fails half of its requests they would show no failure at all.
-inline constexpr std::size_t answer_halves = 2;
+/// \brief Number of folds that the responses of each group are split into at random: groups are ranked by
+/// one fold and evaluated on the other. If both used the same few responses, the best-ranked groups would be
+/// best by chance, and a version that fails half of its requests would appear to have no failures.
+inline constexpr std::size_t fold_count = 2;
 
-/// \brief A cell is one half of one group's answers.
-inline constexpr std::size_t answer_cells = replica_groups * answer_halves;
+/// \brief Number of cells. A cell is one fold of one group's responses.
+inline constexpr std::size_t cell_count = replica_group_count * fold_count;
 
-/// \brief Index of a cell, below `answer_cells`.
+/// \brief Index of a cell, less than `cell_count`.
 using cell_index = std::size_t;
 
-/// \brief A choice of cells.
-using cell_set = std::bitset<answer_cells>;
+/// \brief A set of cells.
+using cell_set = std::bitset<cell_count>;
 
-[[nodiscard]] constexpr cell_index cell_of(std::size_t group, std::size_t half) noexcept
+[[nodiscard]] constexpr cell_index cell_of(std::size_t group, std::size_t fold) noexcept
 {
-	return (group % replica_groups) * answer_halves + half % answer_halves;
+	return (group % replica_group_count) * fold_count + fold % fold_count;
 }
 
-/// \brief What was counted in each cell; cells without answers are left out.
+/// \brief Counts per cell; cells without responses have no entry.
 template <typename Counts>
 class by_cell
 {
   public:
-	[[nodiscard]] Counts& operator[](cell_index cell) { return cells_[cell % answer_cells]; }
+	[[nodiscard]] Counts& operator[](cell_index cell) { return cells_[cell % cell_count]; }
 
-	/// \brief What was counted in a cell, or null.
+	/// \brief Counts of a cell, or null if it has none.
 	[[nodiscard]] const Counts* find(cell_index cell) const
 	{
 		const auto found = cells_.find(cell);
 		return found == cells_.end() ? nullptr : &found->second;
 	}
 
-	/// \brief Sum over the chosen cells.
-	[[nodiscard]] Counts sum(const cell_set& chosen) const
+	/// \brief Sum over the given cells.
+	[[nodiscard]] Counts sum(const cell_set& selected) const
 	{
 		Counts all;
 		for (const auto& [cell, counts] : cells_)
 		{
-			if (chosen.test(cell))
+			if (selected.test(cell))
 			{
 				all += counts;
 			}
@@ -86,7 +86,7 @@
 		return *this;
 	}
 
-	/// \brief Takes off what was added before.
+	/// \brief Subtracts counts that were added before.
 	by_cell& operator-=(const by_cell& other)
 	{
 		for (const auto& [cell, counts] : other.cells_)
@@ -105,7 +105,7 @@
 	std::map<cell_index, Counts> cells_;
 };
 
-/// \brief Cells of the groups with the fewest bad answers, about half of all answers: each half's cells are
-/// chosen by what the other half shows.
-[[nodiscard]] cell_set better_half(const by_cell<answer_counts>& seen);
+/// \brief Selects the cells of the groups with the lowest ratio of bad responses, covering about half of all
+/// responses. The cells of each fold are selected by the ratios in the other fold.
+[[nodiscard]] cell_set healthy_cells(const by_cell<answer_counts>& seen);
 } // namespace gingerdyke::rollout
--- a/include/gingerdyke/rollout/permit_owner.hpp
+++ b/include/gingerdyke/rollout/permit_owner.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The soft owner of a version's trial in one failure domain: grants permits, weighs evidence, suspends.
+// Owner of a version's trial in one failure domain: grants permits, evaluates evidence, suspends the version.
+// Its state is soft: it can be rebuilt after a loss.
 #pragma once
 
 #include <chrono>
@@ -14,38 +15,38 @@
 
 namespace gingerdyke::rollout
 {
-/// \brief Tuning of trials; defaults justified in docs/MEASUREMENTS.md.
+/// \brief Tuning of trials; docs/MEASUREMENTS.md gives the reasons for the defaults.
 struct owner_tuning
 {
-	/// Life of a permit; a new owner grants nothing until the permits of the old one have expired.
+	/// Lifetime of a permit. A new owner grants none until the permits of the previous owner have expired.
 	duration permit_lifetime = std::chrono::seconds{5};
 
-	/// Chance of suspending a version that is no worse than tolerated, over its whole trial.
-	double false_alarm = 0.001;
+	/// Probability of suspending a version that is no worse than tolerated, over its whole trial.
+	double false_positive_probability = 0.001;
 
-	/// Score at which a version that was stable is taken to have turned bad; higher than for a trial, since
-	/// it is looked at for months.
-	double log_change_alarm = 14.0;
+	/// Logarithmic score at which a stable version is taken to have become bad; higher than for a trial,
+	/// since the version is monitored for months.
+	double change_alarm_log_score = 14.0;
 
-	/// Good answers after which twice the permits may be out; and so on.
-	std::uint64_t ramp_answers = 50;
+	/// Number of successful responses after which the limit of outstanding permits rises by one batch.
+	std::uint64_t responses_per_ramp_step = 50;
 
-	/// Most permits out at once, as a multiple of the table's batch.
-	unsigned highest_ramp = 64;
+	/// Maximum number of outstanding permits, as a multiple of the table's permit batch.
+	unsigned max_ramp_factor = 64;
 
-	/// Pause between exchanges with the owners of other failure domains.
+	/// Interval between exchanges with the owners in other failure domains.
 	duration exchange_interval = std::chrono::seconds{1};
 };
 
-/// \brief Effects, and the versions found bad by this step.
+/// \brief Effects of a step, and the versions that it suspended.
 struct owner_step
 {
 	effects out;
 	std::vector<peer::suspension> suspended;
 };
 
-/// \brief State of all trials that this VM owns. All of it can be lost: the counts come again with the next
-/// reports, since they only grow.
+/// \brief State of all trials that this VM owns. It may be lost at any time: the counts are cumulative, so
+/// the next reports restore them.
 class permit_owner
 {
   public:
@@ -56,7 +57,7 @@
 	[[nodiscard]] owner_step on_sum(const peer::evidence_sum& sum, const table::table& table, instant now);
 	[[nodiscard]] owner_step on_tick(const table::table& table, instant now);
 
-	/// \brief Sums over all failure domains that are known here; for `status`.
+	/// \brief Evidence summed over the failure domains known here; for the `status` command.
 	[[nodiscard]] std::map<version_ref, peer::evidence> sums() const;
 
   private:
@@ -67,7 +68,7 @@
 		std::map<vm_id, peer::evidence> by_vm;
 		std::map<failure_domain_id, peer::evidence> other_domains;
 		std::uint64_t granted{};
-		std::uint64_t answers_at_start{};
+		std::uint64_t responses_at_start{};
 		std::optional<instant> last_grant;
 		change_detector changes;
 		bool suspended{};
@@ -75,12 +76,13 @@
 		explicit trial(double tolerated) : changes(tolerated) {}
 	};
 
-	[[nodiscard]] trial* trial_of(
+	[[nodiscard]] trial* find_or_create_trial(
 		const version_ref& ref, revision row, const table::table& table, instant now);
-	[[nodiscard]] std::uint32_t grant(trial& trial, std::uint32_t wanted, unsigned batch, instant now) const;
+	[[nodiscard]] std::uint32_t grant(
+		trial& trial, std::uint32_t requested_permits, unsigned batch, instant now) const;
 	void judge(trial& trial, const table::version_row& version, owner_step& step) const;
-	[[nodiscard]] static peer::evidence domain_sum(const trial& trial);
-	[[nodiscard]] static peer::evidence whole_sum(const trial& trial);
+	[[nodiscard]] static peer::evidence domain_evidence(const trial& trial);
+	[[nodiscard]] static peer::evidence total_evidence(const trial& trial);
 
 	const membership::live_list& live_;
 	owner_tuning tuning_;
--- a/include/gingerdyke/rollout/shift_schedule.hpp
+++ b/include/gingerdyke/rollout/shift_schedule.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// How a shift's share grows over its time: the decision alone.
+// Traffic share of the new version over the course of a shift. Pure computation, without I/O.
 #pragma once
 
 #include <gingerdyke/base/units.hpp>
@@ -7,76 +7,84 @@
 
 namespace gingerdyke::rollout
 {
-/// \brief Tuning of `shift_schedule`, in parts of the shift's time unless said otherwise.
+/// \brief Tuning of `shift_schedule`. Points in time and durations are fractions of the shift's length unless
+/// stated otherwise.
 struct schedule_tuning
 {
-	/// Nothing goes to the new version before this. In the first half a session must not move to it, and
-	/// sessions that began before, on whatever VM, can't be told from others.
-	double trial_at = 0.505;
+	/// Start of the trial; the new version gets no traffic before. In the first half of a shift sessions must
+	/// not move to the new version, and a VM can't tell sessions that began before the shift, on any VM, from
+	/// later ones.
+	double trial_starts_at = 0.505;
 
-	/// Time that is left when the shift is declared completed, and the least of it: the declaration is
-	/// written, and written once more where its answer is lost.
-	double spare = 0.04;
-	duration least_spare = std::chrono::milliseconds{800};
+	/// Time left when the shift is declared completed, as a fraction and as a minimum: the declaration is
+	/// written to the registry, and written again if the response to the write is lost.
+	double completion_margin = 0.04;
+	duration min_completion_margin = std::chrono::milliseconds{800};
 
-	/// Time for which the new version gets everything before that, so that most streams on the old one end.
+	/// Time before completion during which the new version gets all traffic, so that most streams on the old
+	/// version end.
 	double hold = 0.05;
 
-	/// Time in which its share grows from that of the trial to everything.
-	double growth = 0.05;
+	/// Time in which the new version's share grows from the trial share to 1.
+	double ramp_up = 0.05;
 
-	/// Share of sessions in the trial: bounds of what the exposure limit leaves for it. With less, a small
-	/// deployment sees too few answers to judge by.
-	double least_trial_share = 0.02;
-	double most_trial_share = 0.08;
+	/// Bounds of the share of sessions in the trial; the share itself follows from the exposure limit. Below
+	/// the minimum, a small deployment gets too few responses for a verdict.
+	double min_trial_share = 0.02;
+	double max_trial_share = 0.08;
 
-	/// Part of the trial after which its traffic goes to fewer replicas, see `is_at_peak`: before it times
-	/// are compared, under the load of every day.
-	double peak_after = 0.6;
+	/// Fraction of the trial after which its traffic goes to fewer replicas, see `is_peak_load_phase`.
+	/// Latencies are compared before that, under the usual load.
+	double peak_load_after = 0.6;
 
-	/// Part of the exposure limit that the schedule plans for: the rest is for traffic that grows meanwhile.
-	double planned_exposure = 0.9;
+	/// Fraction of the exposure limit that the schedule uses; the rest is reserved for traffic growth during
+	/// the shift.
+	double planned_exposure_ratio = 0.9;
 };
 
-/// \brief The share of sessions on the new version by time.
+/// \brief The share of sessions on the new version as a function of time.
 ///
-/// A version may hide that it is bad until it bears the whole load, or until late. So the schedule itself
-/// keeps the new version's part of all requests in the shift's time below the exposure limit: a small trial
-/// share for long, then everything at the end. A share that grew evenly gave it a third of all requests.
+/// A version may show a fault only under full load or late in the shift. The schedule itself therefore keeps
+/// the new version's fraction of all requests during the shift below the exposure limit: a small trial share
+/// for most of the time, then all traffic at the end. A share that grew linearly would give it a third of all
+/// requests.
 class shift_schedule
 {
   public:
-	/// \param length Time of the shift.
-	/// \param exposure_limit Part of all requests in that time that a bad version may get.
+	/// \param length Duration of the shift.
+	/// \param exposure_limit Fraction of all requests during the shift that a bad version may get.
 	shift_schedule(duration length, double exposure_limit, const schedule_tuning& tuning = {});
 
-	/// \brief The share after a part of the time.
-	/// \param promoted The part after which the new version was shown to be good; none: it is still on trial,
+	/// \brief The share of sessions on the new version at a point of the shift.
+	/// \param elapsed Elapsed fraction of the shift's length.
+	/// \param promoted_at Elapsed fraction at which the new version was promoted; none: it is still on trial,
 	/// and its share does not grow.
-	[[nodiscard]] double share_at(double part, std::optional<double> promoted) const noexcept;
+	[[nodiscard]] double share_at(double elapsed, std::optional<double> promoted_at) const noexcept;
 
-	/// \brief Whether the trial's traffic goes to so few replicas that each bears the load of a peak. A
-	/// version that fails under load only fails there while the others are still on the old one.
-	[[nodiscard]] bool is_at_peak(double part) const noexcept;
+	/// \brief Whether the trial is in its peak-load phase, in which its traffic goes to so few replicas that
+	/// each carries peak load. A version that fails only under load shows this fault here, while the other
+	/// sessions are still on the old version.
+	[[nodiscard]] bool is_peak_load_phase(double elapsed) const noexcept;
 
-	/// \brief Parts of the time at which the trial begins and ends, and at which a shift whose new version is
-	/// good by then is completed.
-	[[nodiscard]] double trial_at() const noexcept { return trial_at_; }
-	[[nodiscard]] double trial_ends_at() const noexcept { return grow_at_; }
-	[[nodiscard]] double complete_at() const noexcept { return complete_at_; }
+	/// \brief Elapsed fractions at which the trial begins and ends, and at which a shift is completed if its
+	/// new version is promoted by the end of the trial.
+	[[nodiscard]] double trial_starts_at() const noexcept { return trial_starts_at_; }
+	[[nodiscard]] double trial_ends_at() const noexcept { return ramp_up_at_; }
+	[[nodiscard]] double completes_at() const noexcept { return completes_at_; }
 
-	/// \brief The part at which a shift is completed whose new version was promoted after a part of the time:
-	/// growth is shortened to end in time; where that is over already, it has its whole time.
-	[[nodiscard]] double complete_at(double promoted) const noexcept;
+	/// \brief Elapsed fraction at which a shift is completed whose new version was promoted at the given
+	/// elapsed fraction. The ramp-up is shortened to end at the regular completion time; if that has passed,
+	/// it takes its full time.
+	[[nodiscard]] double completes_at(double promoted_at) const noexcept;
 
   private:
-	[[nodiscard]] double growth_begins_at(double promoted) const noexcept;
+	[[nodiscard]] double ramp_up_starts_at(double promoted_at) const noexcept;
 
-	double trial_at_;
-	double peak_at_;
-	double grow_at_;
-	double full_at_;
-	double complete_at_;
+	double trial_starts_at_;
+	double peak_load_at_;
+	double ramp_up_at_;
+	double full_share_at_;
+	double completes_at_;
 	double trial_share_;
 };
 } // namespace gingerdyke::rollout
--- a/include/gingerdyke/rollout/suspensions.hpp
+++ b/include/gingerdyke/rollout/suspensions.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Versions found bad: a set that only grows within a row's revision, so that gossip can spread it anywhere.
+// Suspended versions: a set that only grows within a revision of a version's row, so that gossip can spread
+// it in any order.
 #pragma once
 
 #include <gingerdyke/peer/message.hpp>
@@ -9,42 +10,43 @@
 
 namespace gingerdyke::rollout
 {
-/// \brief The suspensions known here. Only an operator's edit of the version's row lifts one.
+/// \brief The suspensions known to this VM. Only an operator's edit of the version's row lifts one.
 class suspensions
 {
   public:
 	/// \brief Adds a suspension.
 	/// \returns Whether it was new.
-	bool add(const peer::suspension& one) { return set_.insert(one).second; }
+	bool add(const peer::suspension& suspension) { return set_.insert(suspension).second; }
 
-	/// \brief Whether a version is suspended at its row's present revision.
+	/// \brief Whether a version is suspended at the current revision of its row.
 	[[nodiscard]] bool holds(const table::version_row& version) const
 	{
 		return set_.contains({version.ref, version.at});
 	}
 
-	/// \brief Drops those of rows that were edited since.
+	/// \brief Removes the suspensions of rows that were edited or deleted since.
 	void drop_lifted(const table::table& table)
 	{
 		std::erase_if(set_,
-			[&](const peer::suspension& one)
+			[&](const peer::suspension& suspension)
 			{
-				const auto* version = table.version(one.version);
-				return version == nullptr || version->at > one.row_revision;
+				const auto* version = table.version(suspension.version);
+				return version == nullptr || version->at > suspension.row_revision;
 			});
 	}
 
 	[[nodiscard]] std::vector<peer::suspension> list() const { return {set_.begin(), set_.end()}; }
 
-	/// \brief Those that a message names and that are not known here.
-	[[nodiscard]] std::vector<peer::suspension> unknown_of(const std::vector<peer::suspension>& told) const
+	/// \brief The suspensions of a received list that are not known here.
+	[[nodiscard]] std::vector<peer::suspension> unknown_of(
+		const std::vector<peer::suspension>& received) const
 	{
 		std::vector<peer::suspension> result;
-		for (const auto& one : told)
+		for (const auto& suspension : received)
 		{
-			if (!set_.contains(one))
+			if (!set_.contains(suspension))
 			{
-				result.push_back(one);
+				result.push_back(suspension);
 			}
 		}
 		return result;
--- a/include/gingerdyke/rollout/time_comparison.hpp
+++ b/include/gingerdyke/rollout/time_comparison.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Answer times of a new version beside the old one's, like against like: sound replicas with sound replicas.
+// Compares the latencies of a new version with those of the old one, each measured at the version's healthy
+// replicas.
 #pragma once
 
 #include <gingerdyke/rollout/version_evidence.hpp>
@@ -8,59 +9,60 @@
 
 namespace gingerdyke::rollout
 {
-/// \brief Tuning of `compare_times`.
-struct time_tuning
+/// \brief Tuning of `compare_latencies`.
+struct latency_tuning
 {
-	/// Fewest answers of the old version to compare times with.
-	std::uint64_t fewest_old = 25;
+	/// Minimum number of responses of the old version for a comparison.
+	std::uint64_t min_old_responses = 25;
 
-	/// An answer is fast up to this multiple of the time that a quarter of the old version's keep within. Low
-	/// quantiles tell the engine's own speed, since they hardly wait for others; caches that are still cold
-	/// add up to half to them, a version that is several times slower more than the multiple.
+	/// A response is fast if its latency is at most this multiple of the old version's latency at this
+	/// quantile. Low quantiles reflect the engine's own speed, since they contain little queueing. Cold
+	/// caches add up to half to them; a version that is several times slower exceeds the multiple.
 	double fast_quantile = 0.25;
-	double fast_multiple = 2;
+	double fast_factor = 2;
 
-	/// Answers within this multiple of the time that a tenth of the old version's keep within are as fast as
-	/// an idle engine gives them. Paces of idle engines of one kind differ by a tenth; slow versions' are
-	/// twice to four times as long.
+	/// Responses within this multiple of the old version's latency at this quantile are as fast as those of
+	/// an idle engine. Event intervals of idle engines of the same kind differ by a tenth; those of slow
+	/// versions are two to four times as long.
 	double fastest_quantile = 0.1;
-	double fastest_multiple = 1.7;
+	double fastest_factor = 1.7;
 
-	/// Of a slow version no more than this share of answers comes as fast as that.
-	double slow_share_as_fast = 0.08;
+	/// Maximum fraction of a slow version's responses that are as fast as those of an idle engine.
+	double max_fast_ratio_of_slow = 0.08;
 };
 
-/// \brief Times of one model's answers at the better half of each version's replicas.
-struct compared_times
+/// \brief Latencies of one model's responses at the healthy replicas of each version.
+struct latency_comparison
 {
 	std::string model;
 	answer_times old_version;
 	answer_times new_version;
 
-	/// All answers of the new version, whatever the replica.
+	/// All responses of the new version, of healthy and faulty replicas.
 	answer_times all_new;
 
-	/// The relative time up to which an answer is fast.
-	double fast_within{};
+	/// The relative latency up to which a response is fast.
+	double fast_limit_latency{};
 
-	/// The relative time of the old version's very fastest answers, whenever they came: what an idle engine
-	/// needs.
+	/// The relative latency of the old version's fastest responses at any time, taken as that of an idle
+	/// engine.
 	double fastest{};
 };
 
-/// \brief What there is to compare, by model; models of whose old version too little is known are left out.
-[[nodiscard]] std::vector<compared_times> compare_times(
-	const times_by_model& seen, const time_tuning& tuning);
+/// \brief The latencies to compare, by model; models with too few responses of the old version are left out.
+[[nodiscard]] std::vector<latency_comparison> compare_latencies(
+	const times_by_model& seen, const latency_tuning& tuning);
 
-/// \brief How much likelier the answers are if the new version is about as fast as the old one than if it is
-/// three times slower or more, as a logarithm. A version as slow as that passes the logarithm of 1/a with
-/// probability at most a, however often one looks.
-/// \param all Whether all answers of the new version count, or those of its better half.
-[[nodiscard]] double log_evidence_as_fast(const std::vector<compared_times>& times, bool all);
+/// \brief Log-likelihood ratio of "the new version is about as fast as the old one" over "it is three or more
+/// times slower". For a version that slow, the probability that the result ever exceeds log(1/a) is at most
+/// a, however often it is evaluated.
+/// \param all Whether to use all responses of the new version or only those of its healthy replicas.
+[[nodiscard]] double log_evidence_as_fast(const std::vector<latency_comparison>& latencies, bool all);
 
-/// \brief Probability that a slow version gives as many answers that are as fast as an idle engine's. For
-/// paces of streams, which caches don't change: beside replicas that are overloaded a slow version's are
-/// fast, since its own bear little in a trial, but none is as fast as theirs were at their best.
-[[nodiscard]] double risk_of_slow_at_best(
-	const std::vector<compared_times>& paces, const time_tuning& tuning);
+/// \brief Probability that a slow version has at least the observed number of responses that are as fast as
+/// those of an idle engine. Used for event intervals of streams, which do not depend on caches. Compared with
+/// overloaded replicas of the old version, a slow version looks fast, since its own replicas carry little
+/// load in a trial; but its intervals are never as short as the old version's shortest ones.
+[[nodiscard]] double probability_if_slow(
+	const std::vector<latency_comparison>& event_intervals, const latency_tuning& tuning);
 } // namespace gingerdyke::rollout
--- a/include/gingerdyke/rollout/version_evidence.hpp
+++ b/include/gingerdyke/rollout/version_evidence.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What the answers of an old and a new version tell, as counts that VMs add up.
+// Observations of the responses of an old and a new version, as counts that can be summed over VMs.
 #pragma once
 
 #include <gingerdyke/base/units.hpp>
@@ -10,23 +10,24 @@
 
 namespace gingerdyke::rollout
 {
-/// \brief Time to an answer's first byte over the time that an idle engine takes to read its prompt: compares
-/// answers to prompts of all sizes.
-/// \param prompt_tokens Tokens of the prompt; 0 for plain services.
+/// \brief Time to first byte divided by the time that an idle engine takes to process the prompt. Makes
+/// responses to prompts of different sizes comparable.
+/// \param prompt_tokens Number of tokens in the prompt; 0 for services without models.
 [[nodiscard]] double relative_answer_time(duration took, double prompt_tokens) noexcept;
 
-/// \brief Time between two events of a stream, on the same scale. An engine's pace hardly depends on what
-/// waits there: beside overloaded engines an eight times slower version's first bytes came no later than
-/// theirs.
+/// \brief Time between two events of a stream divided by that of an idle engine. It hardly depends on the
+/// engine's queue: compared with overloaded engines of the old version, the time to first byte of an eight
+/// times slower version was no longer than theirs.
 [[nodiscard]] double relative_pace(duration between_events) noexcept;
 
-/// \brief Failures on one route: a version may be bad there only.
+/// \brief Failures on one route; a version may be bad on a single route only.
 struct route_evidence
 {
-	/// Of the old version, from the order until the new one gets its first requests.
+	/// Responses of the old version from the order until the new version gets its first requests.
 	answer_counts before;
 
-	/// Of the old version's control replicas beside the new one, in the same trouble as it.
+	/// Responses of the old version's control replicas during the trial, exposed to the same disturbances as
+	/// the new version's.
 	by_cell<answer_counts> old_version;
 	by_cell<answer_counts> new_version;
 
@@ -35,13 +36,13 @@
 	bool operator==(const route_evidence&) const = default;
 };
 
-/// \brief Relative times of one model's answers, or of one route's where the service has no models.
+/// \brief Relative latencies of one model's responses, or of one route's if the service has no models.
 struct time_evidence
 {
-	/// Of the old version, from before the order; paces only.
+	/// Latencies of the old version before the order; recorded for event intervals only.
 	answer_times usual;
 
-	/// As in `route_evidence`.
+	/// See `route_evidence`.
 	answer_times before;
 	by_cell<answer_times> old_version;
 	by_cell<answer_times> new_version;
@@ -51,35 +52,37 @@
 	bool operator==(const time_evidence&) const = default;
 };
 
-/// \brief Times by model.
+/// \brief Latencies by model.
 using times_by_model = std::map<std::string, time_evidence>;
 
-/// \brief All that was seen of a shift, by one VM or by several.
+/// \brief All observations of a shift by one or several VMs.
 struct version_evidence
 {
 	std::map<std::string, route_evidence> by_route;
 
-	/// Times to the first byte, and paces of streams.
+	/// Times to first byte and event intervals of streams, by model; by route for services without models.
 	times_by_model by_model;
 	times_by_model by_pace;
 
-	/// Of these, failures on all routes in the last part of the trial: a version may turn bad late, or under
-	/// the load of a peak, which its replicas bear then where they are many.
+	/// Failures on all routes in the peak-load phase of the trial, also contained in `by_route`. A version
+	/// may become bad late, or only under peak load, which its replicas carry in this phase if there are
+	/// enough of them.
 	route_evidence late;
 
-	/// \brief Adds another VM's.
+	/// \brief Adds the observations of another VM.
 	version_evidence& operator+=(const version_evidence& other);
 
-	/// \brief Takes off what was added before.
+	/// \brief Subtracts observations that were added before.
 	version_evidence& operator-=(const version_evidence& other);
 
 	/// \brief Failures on all routes together.
 	[[nodiscard]] route_evidence all_routes() const;
 
-	/// \brief Answers of the new version.
+	/// \brief Number of responses of the new version.
 	[[nodiscard]] std::uint64_t new_answers() const;
 
-	/// \brief All that was noted, of both versions: of two reports of a VM the later has more.
+	/// \brief Number of observations of both versions. The larger of two reports by the same VM is the newer
+	/// one.
 	[[nodiscard]] std::uint64_t size() const;
 
 	bool operator==(const version_evidence&) const = default;
--- a/include/gingerdyke/rollout/version_shift.hpp
+++ b/include/gingerdyke/rollout/version_shift.hpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Moves a service's traffic from one software version to another, over all VMs without a central one: every
-// VM computes the same share from the same plan, and whoever sees that the new version is bad says so to all.
+// Moves a service's traffic from one software version to another, on all VMs without a coordinator: every VM
+// computes the same traffic share from the same plan, and any VM that finds the new version bad tells the
+// others.
 #pragma once
 
 #include <gingerdyke/base/ids.hpp>
@@ -18,13 +19,13 @@
 
 namespace gingerdyke::rollout
 {
-/// \brief Time on the registry's steady clock, from its own zero; the same on all VMs.
+/// \brief Time on the registry's steady clock, which has its own epoch and is the same for all VMs.
 using registry_time = std::chrono::microseconds;
 
-/// \brief Position of a row in the registry's history.
+/// \brief Version of a row in the registry's history.
 using row_version = quantity<struct row_version_tag>;
 
-/// \brief How far a shift has come.
+/// \brief State of a shift.
 enum class shift_state
 {
 	running,
@@ -32,10 +33,10 @@
 	rolled_back,
 };
 
-/// \brief The word for a state.
+/// \brief Name of a state, as stored.
 [[nodiscard]] const char* name_of(shift_state state) noexcept;
 
-/// \brief Reads the word for a state.
+/// \brief Parses the name of a state.
 [[nodiscard]] std::optional<shift_state> parse_shift_state(const std::string& word);
 
 /// \brief An operator's order to move a service's traffic.
@@ -44,15 +45,15 @@
 	service_id service;
 	std::string to_version;
 
-	/// The shift is to be over within this time of the order.
+	/// Time after the order by which the shift must be completed.
 	duration length{};
 
-	/// Row version of the order: a later order has a higher one.
+	/// Row version of the order; a later order has a higher one.
 	row_version order;
 };
 
-/// \brief What all VMs follow, kept in the registry; each change is made under the condition that the row is
-/// unchanged.
+/// \brief The plan of a shift, which all VMs follow. It is stored in the registry and updated by
+/// compare-and-set on its row.
 struct shift_plan
 {
 	service_id service;
@@ -63,44 +64,44 @@
 	shift_state state{shift_state::running};
 	row_version order;
 
-	/// When the new version was shown to be as good as the old one: from then on its share grows. None: it
-	/// gets no more than a trial's share.
+	/// When the new version was shown to be as good as the old one; from then on its share grows. None: it
+	/// stays at the trial share.
 	std::optional<registry_time> promoted;
 
-	/// Row version of the plan itself; 0: not written yet.
+	/// Row version of the plan itself; 0 before it is written.
 	row_version row;
 };
 
-/// \brief What a sample tells.
+/// \brief Kind of a sample.
 enum class sample_kind
 {
-	/// An answer's first byte came.
+	/// The first byte of a response arrived.
 	answer,
-	/// No byte came for so long that the answer was given up: slow at the least, and whether it failed is not
-	/// known. Left out, the slowest answers of a slow version would count for nothing.
+	/// No byte arrived before the request was abandoned. The sample counts as slow, not as a failure or
+	/// success. Without such samples the slowest responses of a slow version would not count at all.
 	silence,
-	/// A stream's second event came, or did not for so long that the stream was given up.
+	/// The second event of a stream arrived, or the stream was abandoned while waiting for it.
 	pace,
 };
 
-/// \brief One answer, as far as it tells about its version.
+/// \brief Observation of one response.
 struct answer_sample
 {
 	std::string route;
 
-	/// Model that answered; empty for plain services.
+	/// Model that served the request; empty for services without models.
 	std::string model;
 	bool failed{};
 
-	/// See `relative_answer_time` and, for a pace, `relative_pace`.
+	/// See `relative_answer_time` and, for event intervals, `relative_pace`.
 	double relative_time{};
 
-	/// Hash of the replica's incarnation, the same on all VMs.
+	/// Hash of the replica's incarnation; the same on all VMs.
 	std::uint64_t replica{};
 	sample_kind kind{sample_kind::answer};
 };
 
-/// \brief What one VM saw of a new version.
+/// \brief Observations of a shift by one VM.
 struct shift_evidence
 {
 	service_id service;
@@ -108,132 +109,138 @@
 	version_evidence seen;
 };
 
-/// \brief Evidence with the VM that saw it.
+/// \brief Evidence with the VM that reported it.
 struct reported_evidence
 {
-	/// Name and incarnation of the VM; empty: this VM.
+	/// Name and incarnation of the VM; empty for this VM.
 	std::string reporter;
 	shift_evidence evidence;
 };
 
-/// \brief The verdict of a VM that a new version is bad.
+/// \brief A VM's verdict that a new version is bad.
 struct shift_suspension
 {
 	service_id service;
 
-	/// The order that the shift carries out.
+	/// Row version of the order that started the shift.
 	row_version order;
 };
 
 /// \brief Tuning of `version_shift`.
 struct shift_tuning
 {
-	/// Part of all requests in the time of a shift that a bad version may get.
+	/// Fraction of all requests during a shift that a bad version may get.
 	double exposure_limit = 0.15;
 	schedule_tuning schedule;
 	verdict_tuning verdict;
 
-	/// Replicas of the new version that take work at the least; beside that, the part of them that its share
-	/// of the traffic is, so that each bears the load that it will have in the end: a version that is bad
-	/// under load only shows it while few requests go there. With fewer than these, one slow replica would
-	/// pass for a slow version.
-	std::size_t fewest_replicas = 12;
-
-	/// At the peak of a trial each replica in use bears this multiple of its later load, as traffic has peaks
-	/// later. Only where that leaves this many of them: what fewer show may be their own fault.
-	double peak_load = 1.5;
-	std::size_t fewest_at_peak = 3;
-
-	/// Replicas of the old version whose answers are held against the new one's: as many as take work in a
-	/// trial, so that both versions' sick replicas show alike. Summed over hundreds, half of which fail, the
-	/// groups of the old version's would all look half sick.
-	std::size_t control_replicas = 16;
-
-	/// A version that gave this many bad answers, failures or slow ones, is to be shown as good as the old
-	/// one within this time, or gets nothing any more. A VM that reads the registry knows a third to a fifth
-	/// of all answers, and users allow a bad version 5 s after 50 bad answers.
-	std::uint64_t patience_bad = 12;
-	duration patience = std::chrono::milliseconds{3000};
-
-	/// From this time before a trial's end on, VMs that can't tell by the answers known to them write these
-	/// for the others, no more often than this: only with thin traffic, where all together can tell.
-	duration closing = std::chrono::milliseconds{1200};
-	duration closing_pause = std::chrono::milliseconds{1000};
-
-	/// A VM that missed a part of the trial waits for this part of the shift's time before it gives a version
-	/// back that is not shown to be good, and none waits past this multiple of that time.
-	double late_hold = 0.5;
-	double longest_hold = 2;
-
-	/// Without news from the registry for this long, the share no longer grows.
-	duration news_limit = std::chrono::milliseconds{2500};
-
-	/// A VM that did not follow a shift since nothing went to the new version (it started later, or had lost
-	/// the registry) may have missed the verdict of others. It declares the version completed only when it
-	/// has followed for this long, two reports of other VMs and a repeated write, and knows of this many
-	/// answers: a bad version shows within them. Without this a VM that restarts after a shift's time, with
-	/// the registry just back, declares a version completed that all others had suspended.
-	duration late_wait = std::chrono::milliseconds{1600};
-	std::uint64_t late_answers = 25;
-
-	/// Least time between two writes of evidence by one VM.
-	duration report_pause = std::chrono::milliseconds{300};
-
-	/// Evidence is written where more than tolerated is bad, and again when its bad answers have grown by
-	/// this factor: each write is priced, and a good version's few bad answers change nothing. A verdict is
-	/// late by at most a third of them.
-	double report_growth = 1.5;
-
-	/// Most VMs whose evidence goes into one write; the registry takes 100 rows and 1 MB at once.
-	std::size_t most_reported = 90;
-
-	/// Fewest bad answers that are written: other VMs may have seen as many.
-	std::uint64_t fewest_reported = 2;
-
-	/// VMs that read the registry act on the same news at random moments within this time, so that mostly
-	/// only one has to.
-	duration spread = std::chrono::milliseconds{250};
-
-	/// The others act later by this time, and within a spread of this: only where no reader did.
-	duration reader_advantage = std::chrono::milliseconds{900};
+	/// Minimum number of the new version's replicas in use. Beyond it, the fraction of replicas in use equals
+	/// the version's traffic share, so that each carries its final load: a version that fails only under load
+	/// shows it while few requests go to it. With fewer replicas, a single slow one would make the version
+	/// look slow.
+	std::size_t min_replicas = 12;
+
+	/// In the peak-load phase each replica in use carries this multiple of its final load, to cover later
+	/// traffic peaks. The load is not raised if fewer than this number of replicas would be in use: a fault
+	/// of so few may be their own.
+	double peak_load_factor = 1.5;
+	std::size_t min_peak_load_replicas = 3;
+
+	/// Number of the old version's replicas whose responses are compared with the new version's (the control
+	/// group): as many as are in use in a trial, so that faulty replicas show equally in both versions.
+	/// Summed over hundreds of replicas, half of which fail, every group of the old version would look half
+	/// faulty.
+	std::size_t control_replica_count = 16;
+
+	/// A version with this many bad responses (failures or slow ones) must be shown to be as good as the old
+	/// one within this time, or it is suspended. Users allow a bad version 5 s after 50 bad responses, and a
+	/// VM that reads the registry knows a third to a fifth of all responses.
+	std::uint64_t proof_deadline_bad_responses = 12;
+	duration proof_deadline = std::chrono::milliseconds{3000};
+
+	/// From this time before the end of a trial, VMs whose observations don't show that the version is good
+	/// write them for the others, at most once per interval. This occurs only with thin traffic, where only
+	/// the sum over all VMs is conclusive.
+	duration final_report_lead = std::chrono::milliseconds{1200};
+	duration final_report_interval = std::chrono::milliseconds{1000};
+
+	/// A VM that missed a part of the trial waits for this fraction of the shift's length before it rolls
+	/// back a version that is not shown to be good; the maximum wait is the second value, a multiple of that
+	/// length, from the start of the shift.
+	double late_follower_hold = 0.5;
+	double max_trial_length = 2;
+
+	/// Without contact with the registry for this time, the share stops growing.
+	duration registry_contact_limit = std::chrono::milliseconds{2500};
+
+	/// A VM that has not followed a shift since before the trial (it started later or had lost the registry)
+	/// may have missed the verdict of others. It declares the version completed only after following for this
+	/// time (two reports of other VMs and a repeated write) and with this many known responses, within which
+	/// a bad version shows. Without this rule, a VM that restarts after a shift's end, with the registry just
+	/// reachable again, declares a version completed that all others had suspended.
+	duration late_follower_wait = std::chrono::milliseconds{1600};
+	std::uint64_t late_follower_min_responses = 25;
+
+	/// Minimum time between two writes of evidence by one VM.
+	duration min_report_interval = std::chrono::milliseconds{300};
+
+	/// Evidence is written if more responses are bad than tolerated, and again when the number of bad
+	/// responses has grown by this factor: each write has a price, and a good version's few bad responses
+	/// change nothing. At most a third of the bad responses are missing from a verdict.
+	double report_growth_factor = 1.5;
+
+	/// Maximum number of VMs whose evidence goes into one write; the registry accepts 100 rows and 1 MB per
+	/// write.
+	std::size_t max_reporters_per_write = 90;
+
+	/// Minimum number of bad responses for a write; other VMs may have seen as many.
+	std::uint64_t min_reported_bad = 2;
+
+	/// VMs that read the registry act on the same event after a random delay of up to this time, so that
+	/// usually only one of them has to.
+	duration action_jitter = std::chrono::milliseconds{250};
+
+	/// Other VMs act after at least this time plus a random delay of up to the same time, so only if no
+	/// reader did.
+	duration non_reader_delay = std::chrono::milliseconds{900};
 };
 
-/// \brief Something to write to the registry.
+/// \brief A write to the registry.
 struct shift_write
 {
-	/// The plan as it is to be, on the condition that its row is still the one it names.
+	/// The new plan, to be written only if its row still has the version in `row`.
 	std::optional<shift_plan> plan;
 
-	/// What this VM saw, and what VMs that read through it told it.
+	/// Evidence of this VM and of the VMs that read the registry through it.
 	std::vector<reported_evidence> evidence;
 };
 
-/// \brief What a VM knows of a shift, in sums: why it thinks a version good or bad.
+/// \brief Sums of what a VM knows of a shift: the basis of its verdict.
 struct shift_summary
 {
 	answer_counts old_version;
 	answer_counts new_version;
 
-	/// What speaks against the new version the most, and what speaks for it.
+	/// The strongest evidence against the new version, and the result of the test that it is as good.
 	version_verdict verdict;
 	version_proof proof;
 
-	/// VMs whose answers are in the sums, this one included.
+	/// Number of VMs whose responses are in the sums, including this one.
 	std::size_t vms{};
 };
 
-/// \brief Told when a plan is taken, and when the new version is suspended here.
+/// \brief Event: a plan was accepted, or the new version was suspended on this VM.
 struct shift_news
 {
 	const shift_plan& plan;
 	bool suspended{};
 
-	/// Another VM's verdict was taken.
+	/// Whether the suspension follows another VM's verdict.
 	bool told{};
 	shift_summary known;
 };
 
-/// \brief The shifts of all services as this VM knows them.
+/// \brief The shifts of all services as known to this VM.
 class version_shift
 {
   public:
@@ -244,63 +251,64 @@
 	void on_order(const shift_order& order, instant now);
 	void on_plan(const shift_plan& plan, instant now);
 
-	/// \brief Takes another VM's evidence from the registry; it replaces what that VM reported before.
+	/// \brief Applies another VM's evidence from the registry; it replaces that VM's previous evidence.
 	void on_evidence(const std::string& reporter, const shift_evidence& evidence, instant now);
 
-	/// \brief Takes the evidence of a VM that reads through this one, which is to write it for it.
+	/// \brief Applies the evidence of a VM that reads the registry through this one; this VM writes it on its
+	/// behalf.
 	void on_relayed_evidence(const std::string& reporter, const shift_evidence& evidence, instant now);
 
-	/// \brief Takes another VM's verdict: the new version is suspended here too.
+	/// \brief Applies another VM's verdict: the new version is suspended on this VM too.
 	void on_suspension(const shift_suspension& suspension, instant now);
 
-	/// \brief What this VM saw of new versions under way, for the VM that writes it.
+	/// \brief This VM's evidence on running shifts, for the VM that writes it to the registry.
 	[[nodiscard]] std::vector<shift_evidence> own_evidence() const;
 
-	/// \brief Whether a shift is under way.
+	/// \brief Whether any shift is running.
 	[[nodiscard]] bool is_shifting() const;
 
-	/// \brief The verdicts in force here on shifts under way.
+	/// \brief The suspensions in force on this VM for running shifts.
 	[[nodiscard]] std::vector<shift_suspension> suspensions() const;
 
-	/// \brief Says whether this VM reads the registry itself, perhaps for others; at first it does. Such a VM
-	/// writes evidence, and is the first to write plans.
+	/// \brief Sets whether this VM reads the registry itself, possibly for others; initially true. Such a VM
+	/// writes evidence, and writes plans before the others.
 	void note_reads_registry(bool does);
 
-	/// \brief Takes the replicas of a service, to know which version it has without any order.
+	/// \brief Updates the replicas of a service. Before the first order, its version in use is determined
+	/// from them.
 	void note_replicas(const service_id& service, const std::vector<routing::replica_ptr>& replicas);
 
-	/// \brief Notes the registry's clock as an answer of it told.
-	void note_registry_time(registry_time then, instant now);
+	/// \brief Updates the offset to the registry's clock from the time in one of its responses.
+	void note_registry_time(registry_time registry_clock, instant now);
 
-	/// \brief Notes an answer.
+	/// \brief Records a response.
 	void note_answer(
 		const service_id& service, const std::string& version, const answer_sample& answer, instant now);
 
-	/// \brief Version that work goes to.
-	/// \param point Hash of the session: the same point stays on the new version once it is there.
-	/// \returns The version, or empty where any will do.
+	/// \brief Version that a session's requests go to.
+	/// \param point Hash of the session. A session that is on the new version stays there.
+	/// \returns The version, or empty if any will do.
 	[[nodiscard]] std::string version_for(const service_id& service, std::uint64_t point, instant now) const;
 
-	/// \brief Version to use where no replica of `version_for` can be used, or empty.
+	/// \brief Version to use if no replica of `version_for` can be used, or empty.
 	[[nodiscard]] std::string fallback_for(const service_id& service, std::uint64_t point, instant now) const;
 
-	/// \brief Whether a replica takes work now: one of a version under way may not be in use yet.
-	[[nodiscard]] bool is_in_use(const routing::replica& one, instant now) const;
+	/// \brief Whether a replica may get requests now; replicas of the new version are put into use gradually.
+	[[nodiscard]] bool is_in_use(const routing::replica& replica, instant now) const;
 
-	/// \brief What is to be written now. Nothing is given twice until `on_written` or its time has come
-	/// again.
+	/// \brief Returns the writes that are due now. A plan is returned again only after a retry delay.
 	[[nodiscard]] std::vector<shift_write> due(instant now);
 
-	/// \brief When `due` wants to be called next; none: not before the next input.
+	/// \brief When `due` must be called next; none: not before the next input.
 	[[nodiscard]] std::optional<instant> next_due() const;
 
-	/// \brief The share of sessions on the new version now; for status and tests.
+	/// \brief Current share of sessions on the new version; for status and tests.
 	[[nodiscard]] double share(const service_id& service, instant now) const;
 
 	/// \brief Whether this VM has evidence about a service to write.
 	[[nodiscard]] bool has_evidence(const service_id& service) const;
 
-	/// \brief The plan in force for a service, or null.
+	/// \brief The current plan of a service, or null.
 	[[nodiscard]] const shift_plan* plan_of(const service_id& service) const;
 
   private:
@@ -308,73 +316,77 @@
 	{
 		std::string stable_version;
 		std::optional<shift_order> order;
-		instant order_known_at;
+		instant order_received_at;
 		std::optional<shift_plan> plan;
 
-		/// Since when this VM has followed the plan without losing the registry.
+		/// Start of the period in which this VM has followed the plan without losing the registry.
 		instant followed_since;
 		bool suspended{};
 
-		/// Replicas by version.
+		/// Number of replicas by version.
 		std::map<std::string, std::size_t> replicas;
 
-		/// Paces of the version in force by model, as this VM saw them while no shift was under way. Engines
-		/// that are overloaded when a shift begins showed before how fast they are.
-		std::map<std::string, answer_times> usual_paces;
+		/// Event intervals of the stable version by model, recorded by this VM while no shift was running:
+		/// they show the speed of engines that are overloaded when a shift begins.
+		std::map<std::string, answer_times> baseline_event_intervals;
 
-		/// What this VM saw, what others reported, and the sum of all.
+		/// Observations of this VM, reports of the others, and the sum of all.
 		version_evidence own;
-		std::map<std::string, version_evidence> others;
-		version_evidence known;
+		std::map<std::string, version_evidence> by_reporter;
+		version_evidence total;
 
-		/// The sum of what this VM saw and of what it writes for others.
+		/// The sum of this VM's observations and of those that it writes for others.
 		version_evidence to_write;
 
-		/// What is made of these sums.
+		/// Results computed from these sums.
 		version_verdict verdict;
 		version_proof proof;
-		std::uint64_t suspicious{};
+		std::uint64_t bad_to_write{};
 
-		/// Since when the new version has given so many bad answers that it is to be shown good soon.
-		std::optional<instant> bad_since;
+		/// Time at which the new version reached the number of bad responses that starts its proof deadline.
+		std::optional<instant> proof_deadline_start;
 
-		/// VMs whose evidence this one writes, and those among them with news.
+		/// VMs whose evidence this VM writes, and those of them with evidence not written yet; empty for this
+		/// VM.
 		std::set<std::string> relayed;
 		std::set<std::string> unwritten;
 
-		/// Bad answers in the evidence that was written last, and when.
-		std::uint64_t written_bad{};
-		instant written_at;
+		/// Number of bad responses in the evidence written last, and the time of that write.
+		std::uint64_t last_written_bad{};
+		instant last_written_at;
 
-		/// When this VM acts on the state of the plan; none: nothing to do.
-		std::optional<instant> act_at;
+		/// When this VM next acts on the state of the plan; none: no action is pending.
+		std::optional<instant> next_action_at;
 	};
 
 	[[nodiscard]] const service_state* find(const service_id& service) const;
 	[[nodiscard]] registry_time registry_now(instant now) const;
-	/// How much of the plan's time is over; what it means is up to the schedule.
-	[[nodiscard]] double part_of(const shift_plan& plan, instant now) const;
-	/// When so much of the plan's time is over.
-	[[nodiscard]] instant moment_of(const shift_plan& plan, double part) const;
+	/// Elapsed fraction of the plan's length, as used by `shift_schedule`.
+	[[nodiscard]] double elapsed_fraction(const shift_plan& plan, instant now) const;
+	/// The time at which the given fraction of the plan's length has elapsed.
+	[[nodiscard]] instant time_at(const shift_plan& plan, double elapsed) const;
 	[[nodiscard]] shift_schedule schedule_of(const shift_plan& plan) const;
 	[[nodiscard]] double share_of(const service_state& state, instant now) const;
-	[[nodiscard]] bool is_at_peak(const service_state& state, instant now) const;
-	[[nodiscard]] bool has_fresh_news(instant now) const { return now - news_at_ < tuning_.news_limit; }
+	[[nodiscard]] bool carries_peak_load(const service_state& state, instant now) const;
+	[[nodiscard]] bool has_registry_contact(instant now) const
+	{
+		return now - last_registry_contact_ < tuning_.registry_contact_limit;
+	}
 	[[nodiscard]] static bool is_running(const service_state& state);
 
-	/// Replicas of a plan's new version, and all others.
+	/// Number of replicas of the plan's new version, and of all others.
 	[[nodiscard]] static std::size_t new_replicas(const service_state& state);
 	[[nodiscard]] static std::size_t old_replicas(const service_state& state);
 
 	[[nodiscard]] bool is_control(const service_state& state, std::uint64_t replica) const;
-	static void note_usual(service_state& state, const answer_sample& answer);
-	static void note_before(version_evidence& to, const answer_sample& answer);
-	void note_seen(service_state& state, bool is_new, const answer_sample& answer, instant now) const;
+	static void record_baseline(service_state& state, const answer_sample& answer);
+	static void record_pre_trial(version_evidence& to, const answer_sample& answer);
+	void record_sample(service_state& state, bool is_new, const answer_sample& answer, instant now) const;
 	static void relay(service_state& state, const std::string& reporter);
-	bool keep_evidence(service_state& state, const std::string& reporter, const shift_evidence& evidence);
-	void weigh(service_state& state) const;
-	void judge(service_state& state, instant now);
-	void suspend(service_state& state, bool told);
+	bool merge_evidence(service_state& state, const std::string& reporter, const shift_evidence& evidence);
+	void evaluate(service_state& state) const;
+	void evaluate_and_suspend(service_state& state, instant now);
+	void suspend(service_state& state, bool by_peer);
 	[[nodiscard]] shift_summary summary_of(const service_state& state) const;
 
 	[[nodiscard]] std::optional<instant> evidence_due_at(const service_state& state) const;
@@ -382,31 +394,31 @@
 		const service_id& service, service_state& state, instant now);
 
 	/// When a promoted plan is to be declared completed.
-	[[nodiscard]] instant completed_at(const shift_plan& plan) const;
-	[[nodiscard]] double promoted_part(const shift_plan& plan) const;
-	[[nodiscard]] bool is_promotable(const service_state& state, instant now) const;
-	[[nodiscard]] instant give_back_at(const service_state& state) const;
-	[[nodiscard]] std::optional<instant> unproven_at(const service_state& state) const;
-	void give_back_unproven(service_state& state, instant now);
+	[[nodiscard]] instant completion_time(const shift_plan& plan) const;
+	[[nodiscard]] double promoted_fraction(const shift_plan& plan) const;
+	[[nodiscard]] bool may_be_promoted(const service_state& state, instant now) const;
+	[[nodiscard]] instant rollback_time(const service_state& state) const;
+	[[nodiscard]] std::optional<instant> proof_deadline_time(const service_state& state) const;
+	void suspend_if_unproven(service_state& state, instant now);
 
 	[[nodiscard]] static bool has_new_order(const service_state& state);
-	[[nodiscard]] bool knows_verdict(const service_state& state, instant now) const;
-	void on_registry_back(instant now);
+	[[nodiscard]] bool may_declare_completed(const service_state& state, instant now) const;
+	void on_registry_recovered(instant now);
 	[[nodiscard]] std::optional<shift_plan> first_plan(const service_state& state) const;
 	[[nodiscard]] std::optional<shift_plan> next_plan(const service_state& state, instant now) const;
-	[[nodiscard]] std::optional<instant> moment_to_act(const service_state& state, instant now) const;
+	[[nodiscard]] std::optional<instant> next_action_time(const service_state& state, instant now) const;
 	void schedule(service_state& state, instant now);
-	void schedule_sooner(service_state& state, instant now);
+	void reschedule_if_sooner(service_state& state, instant now);
 	[[nodiscard]] duration random_delay() const;
 
 	random_source random_;
-	news_hook news_;
+	news_hook event_callback_;
 	shift_tuning tuning_;
 	std::map<service_id, service_state> services_;
 	bool reads_registry_ = true;
 
-	/// The registry's clock less ours, by the freshest answer.
+	/// Registry clock minus local clock, by the response with the shortest delay.
 	std::optional<duration> clock_offset_;
-	instant news_at_;
+	instant last_registry_contact_;
 };
 } // namespace gingerdyke::rollout
--- a/include/gingerdyke/rollout/version_verdict.hpp
+++ b/include/gingerdyke/rollout/version_verdict.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Whether a new version is worse than the old one, or shown to be as good: the decisions alone, on counts of
-// all VMs.
+// Decides whether a new version is worse than the old one, or shown to be as good. Pure functions of the
+// observations summed over all VMs.
 #pragma once
 
 #include <gingerdyke/rollout/time_comparison.hpp>
@@ -8,143 +8,152 @@
 
 namespace gingerdyke::rollout
 {
-/// \brief Tuning of `judge` and `prove`. Answers the loads of a shift: thin traffic over many VMs, engines of
-/// unlike speed, some or most of either version failing or slowed, and bursts that strike both versions.
+/// \brief Tuning of `judge` and `prove`. The defaults allow for thin traffic spread over many VMs, engines of
+/// different speed, faulty or slow replicas of either version (up to most of them), and bursts that affect
+/// both versions.
 struct verdict_tuning
 {
-	/// A version is bad where the evidence that it is worse than tolerated passes this logarithm; chance
-	/// alone does so once in ten thousand shifts (see sequential_test.hpp).
-	double conclusive = 9.2;
-
-	/// The same for a look at the end of the trial, when the version would get all traffic next: chance alone
-	/// does so once in thirty shifts of a version that is as bad as tolerated, and one that is no worse than
-	/// the old one is far from that.
-	double doubtful = 3.6;
-
-	/// Fewest failures for a verdict.
-	std::uint64_t fewest_failed = 3;
-
-	/// Tolerated share of failures in the better half of the replicas: this, and this multiple of the old
-	/// version's share in its better half. The better half of both, since some replicas may fail for a reason
-	/// of their own: held against all of the old version's, half of which failed, a version that failed four
-	/// in ten requests was within what is tolerated.
+	/// A version is bad if the logarithm of the evidence that it is worse than tolerated exceeds this bound;
+	/// the false-positive rate is one in ten thousand shifts (see sequential_test.hpp).
+	double conclusive_log_evidence = 9.2;
+
+	/// The bound for the check at the end of the trial, after which the version would get all traffic. The
+	/// false-positive rate is one in thirty shifts for a version that is exactly as bad as tolerated; a
+	/// version no worse than the old one stays far below the bound.
+	double end_of_trial_log_evidence = 3.6;
+
+	/// Minimum number of failures for a verdict.
+	std::uint64_t min_failures = 3;
+
+	/// The tolerated failure ratio of the new version's healthy replicas is this base value plus this
+	/// multiple of the failure ratio of the old version's healthy replicas. Both versions are restricted to
+	/// healthy replicas, since some replicas may fail for a reason of their own: compared with all replicas
+	/// of an old version, half of which failed, a version that failed 40 % of its requests was within the
+	/// tolerated ratio.
 	double tolerated_failures = 0.09;
-	double tolerated_multiple = 1.8;
+	double tolerated_factor = 1.8;
 
-	/// The same for all replicas in the last part of a trial, beside what they showed before it: a version
-	/// that turns bad late, or under load only, shows it nowhere else, and few answers are given there.
-	double tolerated_late = 0.04;
+	/// The base value for the peak-load phase, applied to all replicas; the multiple applies to the ratio of
+	/// the old version or, if higher, to the ratio before this phase. A version that becomes bad late or only
+	/// under load shows it in this phase only, and the phase has few responses.
+	double tolerated_peak_load = 0.04;
 
-	/// At least this is tolerated of all replicas and routes together: more than a few sick replicas explain.
-	/// Where few answers are known, those of each route fall into groups of one or two, and the better half
-	/// of them shows nothing: a version that failed half of its requests was completed on 25 answers.
+	/// Minimum tolerated failure ratio over all replicas and routes together; it is more than a few faulty
+	/// replicas explain. This check is needed with few responses: a group of one route then has one or two,
+	/// and selecting healthy replicas by them is meaningless. Without it a version that failed half of its
+	/// requests was completed on 25 responses.
 	double tolerated_overall = 0.12;
 
-	/// Times, see there.
-	time_tuning times;
+	/// Tuning of the latency comparison.
+	latency_tuning latencies;
 
-	/// The new version is tolerated with this part of the old one's share of fast answers: engines that are
-	/// slowed for a reason of their own strike up to a third of a version's replicas more than the other's.
+	/// Tolerated ratio of the new version's fraction of fast responses to the old version's. Engines that are
+	/// slow for a reason of their own can affect up to a third more of one version's replicas than of the
+	/// other's.
 	double tolerated_fast = 0.6;
 
-	/// Fewest slow answers for a verdict.
-	std::uint64_t fewest_slow = 8;
+	/// Minimum number of slow responses for a verdict.
+	std::uint64_t min_slow_responses = 8;
 
-	/// A version is shown to be as good where it fails at most so much more often than the old one, both by
-	/// the better half of their replicas; a bad one fails three in ten requests or more. Smaller, thin
-	/// traffic can't show that a good version is good: this takes 11 answers without a failure.
-	double margin = 0.25;
+	/// A version is shown to be as good if its failure ratio exceeds the old version's by at most this
+	/// margin, both measured at healthy replicas; a bad version fails 30 % of its requests or more. With a
+	/// smaller margin, thin traffic could not show that a good version is good: this one takes 11 responses
+	/// without a failure.
+	double noninferiority_margin = 0.25;
 
-	/// None that fails more than this passes for good, however the old version fares: what is wrong with the
-	/// replicas of both can't be told from a bad version then.
-	double most_failures = 0.45;
+	/// Maximum failure ratio of a version that is shown to be good, however the old version performs: above
+	/// it, a fault that both versions' replicas share can't be distinguished from a bad version.
+	double max_failure_ratio = 0.45;
 
-	/// A version that is as bad as the margin passes with this probability at most.
-	double risk = 0.05;
+	/// Maximum probability that a version as bad as the margin allows is shown to be good.
+	double max_error_probability = 0.05;
 
-	/// A route, or the last part of a trial, is in doubt where the better half of the replicas shows so many
-	/// failures there and this part of the tolerated share; then the whole does not pass. Without it, a
-	/// version that failed on one route only passed in 7 of 40 drawn shifts beside old replicas that failed
-	/// too.
-	std::uint64_t fewest_doubtful = 5;
-	double doubtful_part = 0.7;
+	/// A route or the peak-load phase is doubtful if its healthy replicas show at least this many failures
+	/// and at least this fraction of the tolerated ratio; the version is then not shown to be good. Without
+	/// this check a version that failed on one route only passed in 7 of 40 simulated shifts with an old
+	/// version whose replicas failed too.
+	std::uint64_t min_doubtful_failures = 5;
+	double doubtful_ratio = 0.7;
 };
 
-/// \brief What a verdict rests on.
-enum class verdict_ground
+/// \brief Reason for a verdict.
+enum class verdict_reason
 {
 	none,
-	/// More of its answers are failures.
+	/// Its failure ratio is higher than tolerated.
 	failures,
-	/// More of its answers are slow.
-	times,
-	/// It gave bad answers, and is not shown to be as good as the old one in due time.
+	/// Its ratio of slow responses is higher than tolerated.
+	latency,
+	/// It was not shown to be as good as the old version by its deadline.
 	unproven,
 };
 
-/// \brief The word for a ground.
-[[nodiscard]] const char* name_of(verdict_ground ground) noexcept;
+/// \brief Name of a reason, as logged.
+[[nodiscard]] const char* name_of(verdict_reason ground) noexcept;
 
-/// \brief What speaks against a new version the most.
+/// \brief The strongest evidence against a new version.
 struct version_verdict
 {
-	verdict_ground ground{verdict_ground::none};
+	verdict_reason ground{verdict_reason::none};
 
-	/// The route, or the model; empty: all of them, in a trial's load of a peak or over its whole time.
+	/// The route or the model that the evidence is about; empty: all of them, in the peak-load phase or over
+	/// the whole trial.
 	std::string where;
 
-	/// Answers judged, the bad ones among them, and the share of bad ones that is tolerated.
+	/// Number of responses considered, the bad ones among them, and the tolerated ratio of bad ones.
 	std::uint64_t answers{};
 	std::uint64_t bad{};
 	double tolerated{};
 
-	/// Logarithm of the evidence that more is bad than tolerated; negative: less is.
+	/// Logarithm of the evidence that the ratio of bad responses is higher than tolerated; negative if it is
+	/// lower.
 	double evidence{};
 };
 
-/// \brief Weighs what was seen of a new version; what speaks against it the most.
+/// \brief Returns the strongest evidence against a new version.
 [[nodiscard]] version_verdict judge(const version_evidence& seen, const verdict_tuning& tuning);
 
-/// \brief What shows that a new version is no worse than the old one. That nothing speaks against it is not
-/// enough: a slow version of which hardly an answer came back was completed so.
+/// \brief Result of the test that a new version is no worse than the old one. Absence of evidence against it
+/// is not enough: a slow version with hardly any finished responses was completed that way.
 struct version_proof
 {
-	/// Answers of the new version by which failures were judged, and the share that none may reach.
+	/// The new version's responses by which failures were evaluated, and the failure ratio that it must be
+	/// shown to stay below.
 	answer_counts judged;
 	double tolerated{};
 
-	/// Probability that a version that fails as often as tolerated shows so few failures.
+	/// Probability that a version with the tolerated failure ratio shows so few failures.
 	double failure_risk{1};
 
-	/// Whether a route, or the last part of the trial, is in doubt.
+	/// Whether a route or the peak-load phase is doubtful.
 	bool has_doubtful_part{};
 
-	/// Logarithm of the evidence that it is as fast as the old one, by first bytes and by paces of streams:
-	/// the lower of both.
+	/// Logarithm of the evidence that it is as fast as the old version: the lower of the values for time to
+	/// first byte and for event intervals of streams.
 	double fast_evidence{};
 
-	/// Probability that a slow version's streams are as often as fast as an idle engine's; 0: no streams are
-	/// known.
+	/// Probability that a slow version's event intervals are as often as short as an idle engine's; 0 if
+	/// there are no streams.
 	double slow_risk{};
 
-	/// Bad answers seen of it: failures, or slow ones, whichever are more.
+	/// Number of its bad responses: failures or slow ones, whichever are more.
 	std::uint64_t bad{};
 
-	/// Whether it is shown to be as good.
+	/// Whether it is shown to be as good as the old version.
 	bool is_shown{};
 };
 
-/// \brief Weighs what shows that a new version is as good as the old one.
+/// \brief Tests whether a new version is as good as the old one.
 [[nodiscard]] version_proof prove(const version_evidence& seen, const verdict_tuning& tuning);
 
-/// \brief Both decisions on the same answers.
+/// \brief Both decisions on the same observations.
 struct version_assessment
 {
 	version_verdict verdict;
 	version_proof proof;
 };
 
-/// \brief Weighs what speaks against a new version and what speaks for it, comparing the answers once: a VM
-/// that reads the registry does so with each answer of a trial.
+/// \brief Runs `judge` and `prove` with a single comparison of latencies, since a VM that reads the registry
+/// evaluates both on each response of a trial.
 [[nodiscard]] version_assessment assess(const version_evidence& seen, const verdict_tuning& tuning);
 } // namespace gingerdyke::rollout
--- a/src/rollout/answer_cells.cpp
+++ b/src/rollout/answer_cells.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Counts of answers by group of replicas.
+// Response counts by group of replicas.
 #include <algorithm>
 #include <array>
 #include <gingerdyke/rollout/answer_cells.hpp>
@@ -9,35 +9,35 @@
 {
 namespace
 {
-using group_order = std::array<std::size_t, replica_groups>;
+using group_ranking = std::array<std::size_t, replica_group_count>;
 
-cell_set cells_of_half(std::size_t half)
+cell_set cells_of_fold(std::size_t fold)
 {
 	cell_set cells;
-	for (std::size_t group = 0; group < replica_groups; ++group)
+	for (std::size_t group = 0; group < replica_group_count; ++group)
 	{
-		cells.set(cell_of(group, half));
+		cells.set(cell_of(group, fold));
 	}
 	return cells;
 }
 
-/// Groups by their share of bad answers in one half, the lowest first. A group without answers there may be
-/// as good or bad as all together.
-group_order ranked_by(const by_cell<answer_counts>& seen, std::size_t half)
+/// Groups ordered by ratio of bad responses in one fold, lowest first. A group without responses in that
+/// fold is assigned the ratio over all groups.
+group_ranking groups_by_bad_ratio(const by_cell<answer_counts>& seen, std::size_t fold)
 {
-	const auto share_of_all = seen.sum(cells_of_half(half)).share();
-	std::array<double, replica_groups> shares{};
-	for (std::size_t group = 0; group < replica_groups; ++group)
+	const auto overall_ratio = seen.sum(cells_of_fold(fold)).bad_ratio();
+	std::array<double, replica_group_count> ratios{};
+	for (std::size_t group = 0; group < replica_group_count; ++group)
 	{
-		const auto* counts = seen.find(cell_of(group, half));
+		const auto* counts = seen.find(cell_of(group, fold));
 		const bool is_known = counts != nullptr && counts->answers > 0;
-		shares[group] = is_known ? counts->share() : share_of_all;
+		ratios[group] = is_known ? counts->bad_ratio() : overall_ratio;
 	}
-	group_order order{};
-	std::iota(order.begin(), order.end(), std::size_t{0});
+	group_ranking ranking{};
+	std::iota(ranking.begin(), ranking.end(), std::size_t{0});
 	std::stable_sort(
-		order.begin(), order.end(), [&](std::size_t a, std::size_t b) { return shares[a] < shares[b]; });
-	return order;
+		ranking.begin(), ranking.end(), [&](std::size_t a, std::size_t b) { return ratios[a] < ratios[b]; });
+	return ranking;
 }
 } // namespace
 
@@ -55,30 +55,30 @@
 	return *this;
 }
 
-double answer_counts::share() const noexcept
+double answer_counts::bad_ratio() const noexcept
 {
 	return answers == 0 ? 0 : static_cast<double>(failed) / static_cast<double>(answers);
 }
 
-cell_set better_half(const by_cell<answer_counts>& seen)
+cell_set healthy_cells(const by_cell<answer_counts>& seen)
 {
-	cell_set chosen;
-	for (std::size_t half = 0; half < answer_halves; ++half)
+	cell_set selected;
+	for (std::size_t fold = 0; fold < fold_count; ++fold)
 	{
-		const auto wanted = (seen.sum(cells_of_half(half)).answers + 1) / 2;
+		const auto target_count = (seen.sum(cells_of_fold(fold)).answers + 1) / 2;
 		std::uint64_t answers = 0;
-		for (const auto group : ranked_by(seen, 1 - half))
+		for (const auto group : groups_by_bad_ratio(seen, 1 - fold))
 		{
-			if (answers >= wanted)
+			if (answers >= target_count)
 			{
 				break;
 			}
-			const auto cell = cell_of(group, half);
+			const auto cell = cell_of(group, fold);
 			const auto* counts = seen.find(cell);
 			answers += counts == nullptr ? 0 : counts->answers;
-			chosen.set(cell);
+			selected.set(cell);
 		}
 	}
-	return chosen;
+	return selected;
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/answer_times.cpp
+++ b/src/rollout/answer_times.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A histogram of relative answer times that VMs can add up.
+// A histogram of relative latencies that can be summed over VMs.
 #include <algorithm>
 #include <cmath>
 #include <gingerdyke/rollout/answer_times.hpp>
@@ -9,32 +9,32 @@
 {
 namespace
 {
-/// Upper end of the lowest level, and levels in each doubling.
-constexpr double lowest_end = 0.125;
-constexpr double levels_per_octave = 2;
+/// Upper bound of the lowest bucket, and number of buckets per doubling.
+constexpr double lowest_upper_bound = 0.125;
+constexpr double buckets_per_octave = 2;
 
-/// Where a time lies on the scale of levels: 0 is the beginning of the lowest one.
-double position_of(double relative_time) noexcept
+/// Position of a latency on the bucket scale; 0 is the lower end of the lowest bucket.
+double bucket_position(double relative_time) noexcept
 {
-	constexpr double highest = static_cast<double>(answer_times::levels);
+	constexpr double highest = static_cast<double>(answer_times::bucket_count);
 	if (relative_time <= 0)
 	{
 		return 0;
 	}
-	const auto position = std::log2(relative_time / lowest_end) * levels_per_octave + 1;
+	const auto position = std::log2(relative_time / lowest_upper_bound) * buckets_per_octave + 1;
 	return std::clamp(position, 0.0, highest);
 }
 
-double time_at(double position) noexcept
+double latency_at(double position) noexcept
 {
-	return lowest_end * std::exp2((position - 1) / levels_per_octave);
+	return lowest_upper_bound * std::exp2((position - 1) / buckets_per_octave);
 }
 } // namespace
 
 void answer_times::note(double relative_time) noexcept
 {
-	const auto level = static_cast<std::size_t>(position_of(relative_time));
-	++counts_[std::min(level, levels - 1)];
+	const auto bucket = static_cast<std::size_t>(bucket_position(relative_time));
+	++counts_[std::min(bucket, bucket_count - 1)];
 }
 
 std::uint64_t answer_times::size() const noexcept
@@ -42,62 +42,62 @@
 	return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
 
-double answer_times::quantile(double share) const noexcept
+double answer_times::quantile(double fraction) const noexcept
 {
-	const auto wanted = share * static_cast<double>(size());
+	const auto target_rank = fraction * static_cast<double>(size());
 	double below = 0;
-	for (std::size_t level = 0; level < levels; ++level)
+	for (std::size_t bucket = 0; bucket < bucket_count; ++bucket)
 	{
-		const auto here = static_cast<double>(counts_[level]);
-		if (here > 0 && below + here >= wanted)
+		const auto in_bucket = static_cast<double>(counts_[bucket]);
+		if (in_bucket > 0 && below + in_bucket >= target_rank)
 		{
-			return time_at(static_cast<double>(level) + (wanted - below) / here);
+			return latency_at(static_cast<double>(bucket) + (target_rank - below) / in_bucket);
 		}
-		below += here;
+		below += in_bucket;
 	}
 	return 0;
 }
 
-double answer_times::share_within(double relative_time) const noexcept
+double answer_times::fraction_within(double relative_time) const noexcept
 {
-	const auto all = static_cast<double>(size());
-	if (all <= 0)
+	const auto total = static_cast<double>(size());
+	if (total <= 0)
 	{
 		return 0;
 	}
-	const auto position = position_of(relative_time);
+	const auto position = bucket_position(relative_time);
 	double within = 0;
-	for (std::size_t level = 0; level < levels; ++level)
+	for (std::size_t bucket = 0; bucket < bucket_count; ++bucket)
 	{
-		const auto part = std::clamp(position - static_cast<double>(level), 0.0, 1.0);
-		within += part * static_cast<double>(counts_[level]);
+		const auto covered = std::clamp(position - static_cast<double>(bucket), 0.0, 1.0);
+		within += covered * static_cast<double>(counts_[bucket]);
 	}
-	return within / all;
+	return within / total;
 }
 
 answer_times& answer_times::operator+=(const answer_times& other) noexcept
 {
-	for (std::size_t level = 0; level < levels; ++level)
+	for (std::size_t bucket = 0; bucket < bucket_count; ++bucket)
 	{
-		counts_[level] += other.counts_[level];
+		counts_[bucket] += other.counts_[bucket];
 	}
 	return *this;
 }
 
 answer_times& answer_times::operator-=(const answer_times& other) noexcept
 {
-	for (std::size_t level = 0; level < levels; ++level)
+	for (std::size_t bucket = 0; bucket < bucket_count; ++bucket)
 	{
-		counts_[level] -= std::min(counts_[level], other.counts_[level]);
+		counts_[bucket] -= std::min(counts_[bucket], other.counts_[bucket]);
 	}
 	return *this;
 }
 
-void answer_times::set(std::size_t level, std::uint32_t count) noexcept
+void answer_times::set(std::size_t bucket, std::uint32_t count) noexcept
 {
-	if (level < levels)
+	if (bucket < bucket_count)
 	{
-		counts_[level] = count;
+		counts_[bucket] = count;
 	}
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/permit_owner.cpp
+++ b/src/rollout/permit_owner.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The soft owner of a version's trial in one failure domain.
+// Owner of a version's trial in one failure domain.
 #include <algorithm>
 #include <cmath>
 #include <gingerdyke/rollout/permit_owner.hpp>
@@ -9,21 +9,21 @@
 {
 namespace
 {
-/// Counts only grow, so the higher of two reports is the newer one.
-void merge(const peer::evidence& newer, peer::evidence& into)
+/// Counts are cumulative, so the larger of two reports is the newer one.
+void merge(const peer::evidence& report, peer::evidence& merged)
 {
-	into.version = newer.version;
-	into.row_revision = newer.row_revision;
-	into.answers = std::max(into.answers, newer.answers);
-	into.failures = std::max(into.failures, newer.failures);
+	merged.version = report.version;
+	merged.row_revision = report.row_revision;
+	merged.answers = std::max(merged.answers, report.answers);
+	merged.failures = std::max(merged.failures, report.failures);
 }
 
-void add(const peer::evidence& one, peer::evidence& sum)
+void add(const peer::evidence& evidence, peer::evidence& sum)
 {
-	sum.version = one.version;
-	sum.row_revision = one.row_revision;
-	sum.answers += one.answers;
-	sum.failures += one.failures;
+	sum.version = evidence.version;
+	sum.row_revision = evidence.row_revision;
+	sum.answers += evidence.answers;
+	sum.failures += evidence.failures;
 }
 } // namespace
 
@@ -32,7 +32,7 @@
 {
 }
 
-permit_owner::trial* permit_owner::trial_of(
+permit_owner::trial* permit_owner::find_or_create_trial(
 	const version_ref& ref, revision row, const table::table& table, instant now)
 {
 	const auto* version = table.version(ref);
@@ -55,22 +55,22 @@
 	const vm_id& from, const peer::permit_request& request, const table::table& table, instant now)
 {
 	owner_step step;
-	auto* trial = trial_of(request.seen.version, request.seen.row_revision, table, now);
+	auto* trial = find_or_create_trial(request.seen.version, request.seen.row_revision, table, now);
 	if (trial == nullptr)
 	{
 		return step;
 	}
 	const bool first_report = !trial->by_vm.contains(from);
-	auto& known = trial->by_vm[from];
-	const auto before = known;
-	merge(request.seen, known);
+	auto& vm_evidence = trial->by_vm[from];
+	const auto previous = vm_evidence;
+	merge(request.seen, vm_evidence);
 	if (first_report)
 	{
-		trial->answers_at_start += known.answers;
+		trial->responses_at_start += vm_evidence.answers;
 	}
 	else
 	{
-		trial->changes.add(known.answers - before.answers, known.failures - before.failures);
+		trial->changes.add(vm_evidence.answers - previous.answers, vm_evidence.failures - previous.failures);
 	}
 	const auto& version = *table.version(request.seen.version);
 	judge(*trial, version, step);
@@ -87,25 +87,27 @@
 	return step;
 }
 
-std::uint32_t permit_owner::grant(trial& trial, std::uint32_t wanted, unsigned batch, instant now) const
+std::uint32_t permit_owner::grant(
+	trial& trial, std::uint32_t requested_permits, unsigned batch, instant now) const
 {
-	// Permits of the owner before may still be out.
+	// Permits granted by the previous owner may still be in use.
 	if (now - trial.owned_since < tuning_.permit_lifetime)
 	{
 		return 0;
 	}
-	const auto sum = domain_sum(trial);
-	const auto judged = sum.answers - std::min(sum.answers, trial.answers_at_start);
+	const auto sum = domain_evidence(trial);
+	const auto reported = sum.answers - std::min(sum.answers, trial.responses_at_start);
 	if (trial.last_grant && now - *trial.last_grant >= tuning_.permit_lifetime)
 	{
-		// Whatever was granted and not judged has expired by now.
-		trial.granted = judged;
+		// All permits that were granted and not reported on have expired by now.
+		trial.granted = reported;
 	}
-	const auto good = whole_sum(trial).answers - whole_sum(trial).failures;
-	const auto ramp = std::min<std::uint64_t>(tuning_.highest_ramp, 1 + good / tuning_.ramp_answers);
-	const auto allowed = judged + batch * ramp;
-	const auto room = allowed - std::min(allowed, trial.granted);
-	const auto permits = static_cast<std::uint32_t>(std::min<std::uint64_t>(room, wanted));
+	const auto succeeded = total_evidence(trial).answers - total_evidence(trial).failures;
+	const auto ramp_factor =
+		std::min<std::uint64_t>(tuning_.max_ramp_factor, 1 + succeeded / tuning_.responses_per_ramp_step);
+	const auto permit_limit = reported + batch * ramp_factor;
+	const auto available = permit_limit - std::min(permit_limit, trial.granted);
+	const auto permits = static_cast<std::uint32_t>(std::min<std::uint64_t>(available, requested_permits));
 	trial.granted += permits;
 	if (permits > 0)
 	{
@@ -120,12 +122,13 @@
 	{
 		return;
 	}
-	const auto sum = whole_sum(trial);
-	const bool failed_trial = version.state == table::version_state::trial &&
-							  log_evidence_against(sum.answers, sum.failures, version.tolerated_failures) >
-								  -std::log(tuning_.false_alarm);
-	const bool turned_bad = trial.changes.log_score() > tuning_.log_change_alarm;
-	if (failed_trial || turned_bad)
+	const auto sum = total_evidence(trial);
+	const bool has_failed_trial =
+		version.state == table::version_state::trial &&
+		log_evidence_against(sum.answers, sum.failures, version.tolerated_failures) >
+			-std::log(tuning_.false_positive_probability);
+	const bool has_become_bad = trial.changes.log_score() > tuning_.change_alarm_log_score;
+	if (has_failed_trial || has_become_bad)
 	{
 		trial.suspended = true;
 		step.suspended.push_back({version.ref, trial.row_revision});
@@ -135,7 +138,7 @@
 owner_step permit_owner::on_sum(const peer::evidence_sum& sum, const table::table& table, instant now)
 {
 	owner_step step;
-	auto* trial = trial_of(sum.sum.version, sum.sum.row_revision, table, now);
+	auto* trial = find_or_create_trial(sum.sum.version, sum.sum.row_revision, table, now);
 	if (trial == nullptr || sum.failure_domain == live_.self().failure_domain)
 	{
 		return step;
@@ -163,39 +166,39 @@
 	for (const auto& [ref, trial] : trials_)
 	{
 		const bool owned = live_.owner_in(own_domain, permit_key(ref)) == live_.self().vm;
-		const auto sum = domain_sum(trial);
+		const auto sum = domain_evidence(trial);
 		if (!owned || sum.answers == 0 || table.version(ref)->state != table::version_state::trial)
 		{
 			continue;
 		}
-		for (const auto& domain : live_.domains())
+		for (const auto& failure_domain : live_.domains())
 		{
-			if (domain != own_domain)
+			if (failure_domain != own_domain)
 			{
-				step.out.emplace_back(
-					send_peer{live_.owner_in(domain, permit_key(ref)), peer::evidence_sum{sum, own_domain}});
+				step.out.emplace_back(send_peer{
+					live_.owner_in(failure_domain, permit_key(ref)), peer::evidence_sum{sum, own_domain}});
 			}
 		}
 	}
 	return step;
 }
 
-peer::evidence permit_owner::domain_sum(const trial& trial)
+peer::evidence permit_owner::domain_evidence(const trial& trial)
 {
 	peer::evidence sum;
-	for (const auto& [vm, one] : trial.by_vm)
+	for (const auto& [vm, evidence] : trial.by_vm)
 	{
-		add(one, sum);
+		add(evidence, sum);
 	}
 	return sum;
 }
 
-peer::evidence permit_owner::whole_sum(const trial& trial)
+peer::evidence permit_owner::total_evidence(const trial& trial)
 {
-	auto sum = domain_sum(trial);
-	for (const auto& [domain, one] : trial.other_domains)
+	auto sum = domain_evidence(trial);
+	for (const auto& [failure_domain, evidence] : trial.other_domains)
 	{
-		add(one, sum);
+		add(evidence, sum);
 	}
 	return sum;
 }
@@ -205,7 +208,7 @@
 	std::map<version_ref, peer::evidence> result;
 	for (const auto& [ref, trial] : trials_)
 	{
-		result[ref] = whole_sum(trial);
+		result[ref] = total_evidence(trial);
 	}
 	return result;
 }
--- a/src/rollout/time_comparison.cpp
+++ b/src/rollout/time_comparison.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Answer times of a new version beside the old one's.
+// Compares the latencies of a new version with those of the old one.
 #include <algorithm>
 #include <array>
 #include <boost/math/distributions/binomial.hpp>
@@ -12,53 +12,54 @@
 {
 namespace
 {
-/// Shifts of the old version's times, in levels of half an octave: as fast as it or up to 1.4 times slower,
-/// as caches that are still cold make an answer; and three to eight times slower.
-constexpr std::array as_fast{-2, -1, 0, 1};
-constexpr std::array slower{3, 4, 5, 6};
+/// Offsets applied to the old version's histogram, in buckets of half an octave. As fast: up to 1.4 times
+/// slower, as with cold caches. Slower: three to eight times slower.
+constexpr std::array as_fast_offsets{-2, -1, 0, 1};
+constexpr std::array slower_offsets{3, 4, 5, 6};
 
-/// Share of answers whose time says nothing: some replicas are slowed for a reason of their own.
-constexpr double unexplained_share = 0.05;
+/// Fraction of responses whose latency is unrelated to the version: some replicas are slow for a reason of
+/// their own.
+constexpr double unexplained_ratio = 0.05;
 
-using level_shares = std::array<double, answer_times::levels>;
+using bucket_fractions = std::array<double, answer_times::bucket_count>;
 
-/// The time that a share of the old version's answers keeps within, at the time when it was least: trouble at
-/// one time would hide the engines' own speed. None where too little of the old version is known.
-std::optional<double> least_quantile(
-	std::initializer_list<const answer_times*> of_old, double share, const time_tuning& tuning)
+/// The lowest of the old version's latencies at a quantile, over the given periods: the others may be raised
+/// by a temporary disturbance. None if no period has enough responses.
+std::optional<double> lowest_quantile(
+	std::initializer_list<const answer_times*> periods, double fraction, const latency_tuning& tuning)
 {
-	std::optional<double> least;
-	for (const auto* times : of_old)
+	std::optional<double> lowest;
+	for (const auto* latencies : periods)
 	{
-		if (times->size() >= tuning.fewest_old)
+		if (latencies->size() >= tuning.min_old_responses)
 		{
-			const auto time = times->quantile(share);
-			least = std::min(least.value_or(time), time);
+			const auto latency = latencies->quantile(fraction);
+			lowest = std::min(lowest.value_or(latency), latency);
 		}
 	}
-	return least;
+	return lowest;
 }
 
 std::optional<double> fast_limit(
-	const answer_times& before, const answer_times& beside, const time_tuning& tuning)
+	const answer_times& before, const answer_times& during_trial, const latency_tuning& tuning)
 {
-	const auto time = least_quantile({&before, &beside}, tuning.fast_quantile, tuning);
-	return time ? std::optional{*time * tuning.fast_multiple} : std::nullopt;
+	const auto latency = lowest_quantile({&before, &during_trial}, tuning.fast_quantile, tuning);
+	return latency ? std::optional{*latency * tuning.fast_factor} : std::nullopt;
 }
 
-/// Adds the answers of a model by cell, and how many of them are slow.
-void add_slow(by_cell<answer_counts>& to, const by_cell<answer_times>& seen, double fast_within)
+/// Adds the number of responses of a model per cell, and how many of them are slow.
+void add_slow(by_cell<answer_counts>& target, const by_cell<answer_times>& seen, double fast_limit_latency)
 {
-	for (const auto& [cell, times] : seen)
+	for (const auto& [cell, latencies] : seen)
 	{
-		const auto answers = times.size();
-		const auto slow = static_cast<double>(answers) * (1 - times.share_within(fast_within));
-		to[cell] += {answers, static_cast<std::uint64_t>(std::lround(slow))};
+		const auto answers = latencies.size();
+		const auto slow = static_cast<double>(answers) * (1 - latencies.fraction_within(fast_limit_latency));
+		target[cell] += {answers, static_cast<std::uint64_t>(std::lround(slow))};
 	}
 }
 
-/// Cells of a version's replicas that are fast, over all models.
-cell_set fast_half(const times_by_model& seen, const std::map<std::string, double>& limits,
+/// The cells with the fewest slow responses of a version, over all models.
+cell_set fast_cells(const times_by_model& seen, const std::map<std::string, double>& limits,
 	by_cell<answer_times> time_evidence::*version)
 {
 	by_cell<answer_counts> slow;
@@ -66,126 +67,130 @@
 	{
 		add_slow(slow, seen.at(model).*version, limit);
 	}
-	return better_half(slow);
+	return healthy_cells(slow);
 }
 
-level_shares shares_of(const answer_times& times)
+bucket_fractions smoothed_fractions(const answer_times& latencies)
 {
-	// Neighbouring levels share some of their answers: few answers leave gaps.
+	// Smooths over adjacent buckets, since few responses leave gaps.
 	constexpr double smoothing = 0.5;
-	level_shares shares{};
-	const auto& counts = times.counts();
+	bucket_fractions shares{};
+	const auto& counts = latencies.counts();
 	double sum = 0;
-	for (std::size_t level = 0; level < shares.size(); ++level)
+	for (std::size_t bucket = 0; bucket < shares.size(); ++bucket)
 	{
-		const auto below = level == 0 ? 0 : counts[level - 1];
-		const auto above = level + 1 == counts.size() ? 0 : counts[level + 1];
-		shares[level] = counts[level] + smoothing / 2 * (below + above);
-		sum += shares[level];
+		const auto below = bucket == 0 ? 0 : counts[bucket - 1];
+		const auto above = bucket + 1 == counts.size() ? 0 : counts[bucket + 1];
+		shares[bucket] = counts[bucket] + smoothing / 2 * (below + above);
+		sum += shares[bucket];
 	}
-	for (auto& share : shares)
+	for (auto& fraction : shares)
 	{
-		share /= std::max(1.0, sum);
+		fraction /= std::max(1.0, sum);
 	}
 	return shares;
 }
 
-/// Logarithm of the likelihood of answers whose times are the old version's, shifted by so many levels.
-double log_likelihood(const answer_times& answers, const level_shares& old, int shift)
+/// Log-likelihood of latencies under the old version's distribution moved by `offset` buckets.
+double log_likelihood(const answer_times& answers, const bucket_fractions& old_fractions, int offset)
 {
-	constexpr int highest = static_cast<int>(answer_times::levels) - 1;
-	level_shares shifted{};
-	for (int level = 0; level <= highest; ++level)
+	constexpr int highest = static_cast<int>(answer_times::bucket_count) - 1;
+	bucket_fractions moved{};
+	for (int bucket = 0; bucket <= highest; ++bucket)
 	{
-		const auto to = std::clamp(level + shift, 0, highest);
-		shifted[static_cast<std::size_t>(to)] += old[static_cast<std::size_t>(level)];
+		const auto target = std::clamp(bucket + offset, 0, highest);
+		moved[static_cast<std::size_t>(target)] += old_fractions[static_cast<std::size_t>(bucket)];
 	}
 	double sum = 0;
-	for (std::size_t level = 0; level < shifted.size(); ++level)
+	for (std::size_t bucket = 0; bucket < moved.size(); ++bucket)
 	{
-		const auto share =
-			(1 - unexplained_share) * shifted[level] + unexplained_share / double(shifted.size());
-		sum += answers.counts()[level] * std::log(share);
+		const auto fraction =
+			(1 - unexplained_ratio) * moved[bucket] + unexplained_ratio / double(moved.size());
+		sum += answers.counts()[bucket] * std::log(fraction);
 	}
 	return sum;
 }
 
-/// Logarithm of the mean likelihood over some shifts, the same for all models.
-template <typename Shifts>
-double log_mean_likelihood(const std::vector<compared_times>& times, bool all, const Shifts& shifts)
+/// Logarithm of the mean likelihood over several offsets; each offset is applied to all models at once.
+template <typename Offsets>
+double log_mean_likelihood(const std::vector<latency_comparison>& latencies, bool all, const Offsets& offsets)
 {
 	std::vector<double> logs;
-	for (const auto shift : shifts)
+	for (const auto offset : offsets)
 	{
 		double sum = 0;
-		for (const auto& one : times)
+		for (const auto& comparison : latencies)
 		{
-			sum += log_likelihood(all ? one.all_new : one.new_version, shares_of(one.old_version), shift);
+			sum += log_likelihood(all ? comparison.all_new : comparison.new_version,
+				smoothed_fractions(comparison.old_version), offset);
 		}
 		logs.push_back(sum);
 	}
 	const auto highest = *std::max_element(logs.begin(), logs.end());
 	double mean = 0;
-	for (const auto one : logs)
+	for (const auto value : logs)
 	{
-		mean += std::exp(one - highest) / static_cast<double>(logs.size());
+		mean += std::exp(value - highest) / static_cast<double>(logs.size());
 	}
 	return highest + std::log(mean);
 }
 } // namespace
 
-std::vector<compared_times> compare_times(const times_by_model& seen, const time_tuning& tuning)
+std::vector<latency_comparison> compare_latencies(const times_by_model& seen, const latency_tuning& tuning)
 {
 	std::map<std::string, double> limits;
-	for (const auto& [model, one] : seen)
+	for (const auto& [model, evidence] : seen)
 	{
-		if (const auto limit = fast_limit(one.before, one.old_version.sum(), tuning))
+		if (const auto limit = fast_limit(evidence.before, evidence.old_version.sum(), tuning))
 		{
 			limits[model] = *limit;
 		}
 	}
-	const auto sound_old = fast_half(seen, limits, &time_evidence::old_version);
+	const auto healthy_old = fast_cells(seen, limits, &time_evidence::old_version);
 	for (auto& [model, limit] : limits)
 	{
-		const auto& one = seen.at(model);
-		limit = fast_limit(one.before, one.old_version.sum(sound_old), tuning).value_or(limit);
+		const auto& evidence = seen.at(model);
+		limit = fast_limit(evidence.before, evidence.old_version.sum(healthy_old), tuning).value_or(limit);
 	}
-	const auto sound_new = fast_half(seen, limits, &time_evidence::new_version);
-	std::vector<compared_times> compared;
+	const auto healthy_new = fast_cells(seen, limits, &time_evidence::new_version);
+	std::vector<latency_comparison> compared;
 	for (const auto& [model, limit] : limits)
 	{
-		const auto& one = seen.at(model);
-		const auto beside = one.old_version.sum(sound_old);
-		const bool is_enough = beside.size() >= tuning.fewest_old;
-		const auto fastest =
-			least_quantile({&one.usual, &one.before, &beside}, tuning.fastest_quantile, tuning);
-		compared.push_back({model, is_enough ? beside : one.before, one.new_version.sum(sound_new),
-			one.new_version.sum(), limit, fastest.value_or(limit)});
+		const auto& evidence = seen.at(model);
+		const auto during_trial = evidence.old_version.sum(healthy_old);
+		const bool has_enough = during_trial.size() >= tuning.min_old_responses;
+		const auto fastest = lowest_quantile(
+			{&evidence.usual, &evidence.before, &during_trial}, tuning.fastest_quantile, tuning);
+		compared.push_back(
+			{model, has_enough ? during_trial : evidence.before, evidence.new_version.sum(healthy_new),
+				evidence.new_version.sum(), limit, fastest.value_or(limit)});
 	}
 	return compared;
 }
 
-double log_evidence_as_fast(const std::vector<compared_times>& times, bool all)
+double log_evidence_as_fast(const std::vector<latency_comparison>& latencies, bool all)
 {
-	return log_mean_likelihood(times, all, as_fast) - log_mean_likelihood(times, all, slower);
+	return log_mean_likelihood(latencies, all, as_fast_offsets) -
+		   log_mean_likelihood(latencies, all, slower_offsets);
 }
 
-double risk_of_slow_at_best(const std::vector<compared_times>& paces, const time_tuning& tuning)
+double probability_if_slow(
+	const std::vector<latency_comparison>& event_intervals, const latency_tuning& tuning)
 {
 	double answers = 0;
-	double as_fast = 0;
-	for (const auto& one : paces)
+	double fast_count = 0;
+	for (const auto& comparison : event_intervals)
 	{
-		const auto size = static_cast<double>(one.all_new.size());
+		const auto size = static_cast<double>(comparison.all_new.size());
 		answers += size;
-		as_fast += size * one.all_new.share_within(one.fastest * tuning.fastest_multiple);
+		fast_count += size * comparison.all_new.fraction_within(comparison.fastest * tuning.fastest_factor);
 	}
-	const auto count = std::floor(as_fast);
+	const auto count = std::floor(fast_count);
 	if (count < 1)
 	{
 		return 1;
 	}
-	const boost::math::binomial_distribution<double> of_slow{answers, tuning.slow_share_as_fast};
+	const boost::math::binomial_distribution<double> of_slow{answers, tuning.max_fast_ratio_of_slow};
 	return boost::math::cdf(boost::math::complement(of_slow, count - 1));
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/version_evidence.cpp
+++ b/src/rollout/version_evidence.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What the answers of an old and a new version tell, as counts that VMs add up.
+// Observations of the responses of an old and a new version, as counts that can be summed over VMs.
 #include <algorithm>
 #include <gingerdyke/rollout/version_evidence.hpp>
 
@@ -15,7 +15,7 @@
 	}
 }
 
-void take_off(times_by_model& from, const times_by_model& other)
+void subtract(times_by_model& from, const times_by_model& other)
 {
 	for (const auto& [model, seen] : other)
 	{
@@ -35,8 +35,8 @@
 }
 } // namespace
 
-// What idle engines need, in the order of magnitude of the users' engines: only ratios of two versions are
-// compared.
+// The constants for idle engines give the order of magnitude for typical engines; precision is not needed,
+// since only ratios of two versions are compared.
 
 double relative_answer_time(duration took, double prompt_tokens) noexcept
 {
@@ -103,8 +103,8 @@
 	{
 		by_route[route] -= seen;
 	}
-	take_off(by_model, other.by_model);
-	take_off(by_pace, other.by_pace);
+	subtract(by_model, other.by_model);
+	subtract(by_pace, other.by_pace);
 	late -= other.late;
 	return *this;
 }
--- a/src/rollout/version_shift.cpp
+++ b/src/rollout/version_shift.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Moves a service's traffic from one software version to another: versions for requests, and plans. What is
-// made of answers is in version_shift_evidence.cpp, when a plan goes on in version_shift_plans.cpp.
+// Moves a service's traffic from one software version to another: selection of versions for requests, and
+// plans. Evidence is handled in version_shift_evidence.cpp, the transitions of a plan in
+// version_shift_plans.cpp.
 #include <algorithm>
 #include <gingerdyke/base/crypto.hpp>
 #include <gingerdyke/rollout/version_shift.hpp>
@@ -14,18 +15,18 @@
 constexpr const char* word_completed = "completed";
 constexpr const char* word_rolled_back = "rolled_back";
 
-/// An attempt to write is repeated after this time where no news came of it.
-constexpr duration write_again = std::chrono::milliseconds{700};
+/// A write is repeated after this time if the plan has not changed.
+constexpr duration write_retry_delay = std::chrono::milliseconds{700};
 
-std::string commonest_version(
+std::string most_common_version(
 	const std::vector<routing::replica_ptr>& replicas, const std::optional<shift_order>& order)
 {
 	std::map<std::string, unsigned> counts;
-	for (const auto& one : replicas)
+	for (const auto& replica : replicas)
 	{
-		if (!order || one->version != order->to_version)
+		if (!order || replica->version != order->to_version)
 		{
-			++counts[one->version];
+			++counts[replica->version];
 		}
 	}
 	const auto most = std::max_element(
@@ -36,7 +37,7 @@
 bool has_version(const std::vector<routing::replica_ptr>& replicas, const std::string& version)
 {
 	return std::any_of(
-		replicas.begin(), replicas.end(), [&](const auto& one) { return one->version == version; });
+		replicas.begin(), replicas.end(), [&](const auto& replica) { return replica->version == version; });
 }
 } // namespace
 
@@ -67,7 +68,7 @@
 }
 
 version_shift::version_shift(random_source random, news_hook news, shift_tuning tuning)
-	: random_(std::move(random)), news_(std::move(news)), tuning_(tuning)
+	: random_(std::move(random)), event_callback_(std::move(news)), tuning_(tuning)
 {
 }
 
@@ -79,7 +80,7 @@
 		return;
 	}
 	state.order = order;
-	state.order_known_at = now;
+	state.order_received_at = now;
 	schedule(state, now);
 }
 
@@ -94,27 +95,27 @@
 	{
 		state.suspended = false;
 		state.own = {};
-		for (const auto& [model, paces] : state.usual_paces)
+		for (const auto& [model, intervals] : state.baseline_event_intervals)
 		{
-			state.own.by_pace[model].usual = paces;
+			state.own.by_pace[model].usual = intervals;
 		}
-		state.known = state.own;
+		state.total = state.own;
 		state.to_write = state.own;
-		state.others.clear();
+		state.by_reporter.clear();
 		state.relayed.clear();
 		state.unwritten.clear();
-		state.written_bad = 0;
-		state.bad_since.reset();
+		state.last_written_bad = 0;
+		state.proof_deadline_start.reset();
 		state.followed_since = now;
-		weigh(state);
+		evaluate(state);
 	}
 	if (plan.state == shift_state::completed)
 	{
-		state.usual_paces.clear();
+		state.baseline_event_intervals.clear();
 	}
 	state.plan = plan;
 	state.stable_version = plan.state == shift_state::completed ? plan.to_version : plan.from_version;
-	news_({plan, false, false, summary_of(state)});
+	event_callback_({plan, false, false, summary_of(state)});
 	schedule(state, now);
 }
 
@@ -125,18 +126,19 @@
 
 void version_shift::note_reads_registry(bool does)
 {
-	const bool begins = does && !reads_registry_;
+	const bool starts_reading = does && !reads_registry_;
 	reads_registry_ = does;
-	if (!begins)
+	if (!starts_reading)
 	{
 		return;
 	}
-	// What was left to the reader before is to be looked at now.
+	// Actions that were left to another reader are now due on this VM.
 	for (auto& [service, state] : services_)
 	{
 		if (is_running(state))
 		{
-			state.act_at = std::min(state.act_at.value_or(news_at_), news_at_);
+			state.next_action_at =
+				std::min(state.next_action_at.value_or(last_registry_contact_), last_registry_contact_);
 		}
 	}
 }
@@ -168,37 +170,38 @@
 {
 	auto& state = services_[service];
 	state.replicas.clear();
-	for (const auto& one : replicas)
+	for (const auto& replica : replicas)
 	{
-		++state.replicas[one->version];
+		++state.replicas[replica->version];
 	}
 	const bool is_stable_known = !state.stable_version.empty();
 	if (state.plan || (is_stable_known && has_version(replicas, state.stable_version)))
 	{
 		return;
 	}
-	const auto commonest = commonest_version(replicas, state.order);
-	if (!commonest.empty())
+	const auto most_common = most_common_version(replicas, state.order);
+	if (!most_common.empty())
 	{
-		state.stable_version = commonest;
+		state.stable_version = most_common;
 	}
 }
 
-void version_shift::note_registry_time(registry_time then, instant now)
+void version_shift::note_registry_time(registry_time registry_clock, instant now)
 {
-	// An answer is as old as its way here; the largest difference came the fastest way.
-	const auto offset = then - now.time_since_epoch();
+	// The largest offset is the most accurate one: it belongs to the response with the shortest delay.
+	const auto offset = registry_clock - now.time_since_epoch();
 	clock_offset_ = clock_offset_ ? std::max(*clock_offset_, offset) : offset;
-	const bool was_lost = now - news_at_ > tuning_.news_limit;
-	news_at_ = now;
-	if (was_lost)
+	const bool contact_was_lost = now - last_registry_contact_ > tuning_.registry_contact_limit;
+	last_registry_contact_ = now;
+	if (contact_was_lost)
 	{
-		on_registry_back(now);
+		on_registry_recovered(now);
 	}
 }
 
-/// Others may have judged meanwhile; a verdict of this VM is due at once.
-void version_shift::on_registry_back(instant now)
+/// Other VMs may have suspended the version in the meantime, so the period of following the plan restarts. A
+/// suspension on this VM is due to be written.
+void version_shift::on_registry_recovered(instant now)
 {
 	for (auto& [service, state] : services_)
 	{
@@ -221,8 +224,8 @@
 	{
 		return state->stable_version;
 	}
-	const bool wants_new = !state->suspended && unit_of(point) < share_of(*state, now);
-	return wants_new ? state->plan->to_version : state->plan->from_version;
+	const bool uses_new = !state->suspended && unit_of(point) < share_of(*state, now);
+	return uses_new ? state->plan->to_version : state->plan->from_version;
 }
 
 std::string version_shift::fallback_for(const service_id& service, std::uint64_t point, instant now) const
@@ -250,17 +253,17 @@
 		{
 			writes.push_back({std::nullopt, take_evidence(service, state, now)});
 		}
-		if (!state.act_at || *state.act_at > now)
+		if (!state.next_action_at || *state.next_action_at > now)
 		{
 			continue;
 		}
-		judge(state, now);
-		give_back_unproven(state, now);
+		evaluate_and_suspend(state, now);
+		suspend_if_unproven(state, now);
 		if (auto plan = next_plan(state, now))
 		{
 			plan->service = service;
 			writes.push_back({std::move(plan), {}});
-			state.act_at = now + write_again + random_delay();
+			state.next_action_at = now + write_retry_delay + random_delay();
 			continue;
 		}
 		schedule(state, now);
@@ -273,7 +276,7 @@
 	std::optional<instant> next;
 	for (const auto& [service, state] : services_)
 	{
-		for (const auto& moment : {state.act_at, evidence_due_at(state)})
+		for (const auto& moment : {state.next_action_at, evidence_due_at(state)})
 		{
 			if (moment)
 			{
@@ -307,21 +310,21 @@
 	return now.time_since_epoch() + clock_offset_.value_or(duration{0});
 }
 
-double version_shift::part_of(const shift_plan& plan, instant now) const
+double version_shift::elapsed_fraction(const shift_plan& plan, instant now) const
 {
 	const auto elapsed = registry_now(now) - plan.started;
 	return static_cast<double>(elapsed.count()) / static_cast<double>(plan.length.count());
 }
 
-double version_shift::promoted_part(const shift_plan& plan) const
+double version_shift::promoted_fraction(const shift_plan& plan) const
 {
 	const auto elapsed = *plan.promoted - plan.started;
 	return static_cast<double>(elapsed.count()) / static_cast<double>(plan.length.count());
 }
 
-instant version_shift::moment_of(const shift_plan& plan, double part) const
+instant version_shift::time_at(const shift_plan& plan, double elapsed) const
 {
-	return instant{plan.started + scaled(plan.length, part) - clock_offset_.value_or(duration{0})};
+	return instant{plan.started + scaled(plan.length, elapsed) - clock_offset_.value_or(duration{0})};
 }
 
 shift_schedule version_shift::schedule_of(const shift_plan& plan) const
@@ -336,31 +339,34 @@
 		return 0;
 	}
 	const auto& plan = *state.plan;
-	const auto known_until = std::min(now, news_at_ + tuning_.news_limit);
-	const auto promoted = plan.promoted ? std::optional{promoted_part(plan)} : std::nullopt;
-	return schedule_of(plan).share_at(part_of(plan, known_until), promoted);
+	const auto known_until = std::min(now, last_registry_contact_ + tuning_.registry_contact_limit);
+	const auto promoted = plan.promoted ? std::optional{promoted_fraction(plan)} : std::nullopt;
+	return schedule_of(plan).share_at(elapsed_fraction(plan, known_until), promoted);
 }
 
-/// The hash picks the same replicas on all VMs, and never gives one up while the share grows.
-bool version_shift::is_in_use(const routing::replica& one, instant now) const
+/// The hash selects the same replicas on all VMs, and a selected replica stays selected while the share
+/// grows.
+bool version_shift::is_in_use(const routing::replica& replica, instant now) const
 {
-	const auto* state = find(one.service);
-	const bool is_new = state != nullptr && is_running(*state) && one.version == state->plan->to_version;
+	const auto* state = find(replica.service);
+	const bool is_new = state != nullptr && is_running(*state) && replica.version == state->plan->to_version;
 	if (!is_new)
 	{
 		return true;
 	}
 	const auto count = static_cast<double>(std::max<std::size_t>(1, new_replicas(*state)));
-	const auto least = static_cast<double>(tuning_.fewest_replicas) / count;
+	const auto min_fraction = static_cast<double>(tuning_.min_replicas) / count;
 	const auto share = share_of(*state, now);
-	const auto used = is_at_peak(*state, now) ? share / tuning_.peak_load : std::max(least, share);
-	return unit_of(stable_hash(one.id.str())) < used;
+	const auto used_fraction =
+		carries_peak_load(*state, now) ? share / tuning_.peak_load_factor : std::max(min_fraction, share);
+	return unit_of(stable_hash(replica.id.str())) < used_fraction;
 }
 
-bool version_shift::is_at_peak(const service_state& state, instant now) const
+bool version_shift::carries_peak_load(const service_state& state, instant now) const
 {
-	const auto left = static_cast<double>(new_replicas(state)) * share_of(state, now) / tuning_.peak_load;
-	return schedule_of(*state.plan).is_at_peak(part_of(*state.plan, now)) &&
-		   left >= static_cast<double>(tuning_.fewest_at_peak);
+	const auto left =
+		static_cast<double>(new_replicas(state)) * share_of(state, now) / tuning_.peak_load_factor;
+	return schedule_of(*state.plan).is_peak_load_phase(elapsed_fraction(*state.plan, now)) &&
+		   left >= static_cast<double>(tuning_.min_peak_load_replicas);
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/version_shift_evidence.cpp
+++ b/src/rollout/version_shift_evidence.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Moves a service's traffic from one software version to another: what this VM and others see of the new
-// version, and what is made of it. The verdict itself is in version_verdict.cpp.
+// Moves a service's traffic from one software version to another: evidence of this VM and of others, and its
+// evaluation. The verdict itself is computed in version_verdict.cpp.
 #include <algorithm>
 #include <gingerdyke/base/crypto.hpp>
 #include <gingerdyke/rollout/version_shift.hpp>
@@ -10,19 +10,19 @@
 {
 namespace
 {
-/// Gives replicas their groups independently of which of them are in use.
-constexpr std::uint64_t group_salt = 0x67726f757073;
+/// Makes the assignment of replicas to groups independent of the selection of replicas in use.
+constexpr std::uint64_t group_hash_seed = 0x67726f757073;
 
-/// Where an answer's time counts: the model's speed is the engine's, the route's a plain service's.
-const std::string& time_key(const answer_sample& answer)
+/// Key that latencies are grouped by: the model or, for services without models, the route.
+const std::string& latency_key(const answer_sample& answer)
 {
 	return answer.model.empty() ? answer.route : answer.model;
 }
 
-time_evidence& times_of(version_evidence& seen, const answer_sample& answer)
+time_evidence& latencies_of(version_evidence& seen, const answer_sample& answer)
 {
 	auto& times = answer.kind == sample_kind::pace ? seen.by_pace : seen.by_model;
-	return times[time_key(answer)];
+	return times[latency_key(answer)];
 }
 
 void add_outcome(const answer_sample& answer, answer_counts& to)
@@ -40,9 +40,9 @@
 void version_shift::on_evidence(const std::string& reporter, const shift_evidence& evidence, instant now)
 {
 	auto& state = services_[evidence.service];
-	if (keep_evidence(state, reporter, evidence))
+	if (merge_evidence(state, reporter, evidence))
 	{
-		judge(state, now);
+		evaluate_and_suspend(state, now);
 	}
 }
 
@@ -50,28 +50,29 @@
 	const std::string& reporter, const shift_evidence& evidence, instant now)
 {
 	auto& state = services_[evidence.service];
-	if (keep_evidence(state, reporter, evidence))
+	if (merge_evidence(state, reporter, evidence))
 	{
 		relay(state, reporter);
-		judge(state, now);
+		evaluate_and_suspend(state, now);
 	}
 }
 
-/// \returns Whether it tells more than what is known of that VM: its ways here may overtake one another.
-bool version_shift::keep_evidence(
+/// \returns Whether the evidence is newer than what is known of that VM; reports arrive by several paths and
+/// may be out of order.
+bool version_shift::merge_evidence(
 	service_state& state, const std::string& reporter, const shift_evidence& evidence)
 {
 	if (!state.plan || state.plan->order != evidence.order)
 	{
 		return false;
 	}
-	auto& before = state.others[reporter];
+	auto& before = state.by_reporter[reporter];
 	if (evidence.seen.size() <= before.size())
 	{
 		return false;
 	}
-	state.known -= before;
-	state.known += evidence.seen;
+	state.total -= before;
+	state.total += evidence.seen;
 	if (state.relayed.contains(reporter))
 	{
 		state.to_write -= before;
@@ -81,13 +82,13 @@
 	return true;
 }
 
-/// From now on this VM writes what that one reports.
+/// From now on this VM writes the evidence of `reporter`.
 void version_shift::relay(service_state& state, const std::string& reporter)
 {
 	state.unwritten.insert(reporter);
 	if (state.relayed.insert(reporter).second)
 	{
-		state.to_write += state.others[reporter];
+		state.to_write += state.by_reporter[reporter];
 	}
 }
 
@@ -99,11 +100,11 @@
 		return;
 	}
 	auto& state = found->second;
-	const bool concerns_plan = is_running(state) && state.plan->order == suspension.order && !state.suspended;
-	if (concerns_plan)
+	const bool applies = is_running(state) && state.plan->order == suspension.order && !state.suspended;
+	if (applies)
 	{
 		suspend(state, true);
-		state.act_at = now + random_delay();
+		state.next_action_at = now + random_delay();
 	}
 }
 
@@ -146,55 +147,55 @@
 	{
 		if (version == state.stable_version)
 		{
-			note_usual(state, answer);
+			record_baseline(state, answer);
 		}
 		return;
 	}
 	const bool is_new = version == state.plan->to_version;
-	note_seen(state, is_new, answer, now);
+	record_sample(state, is_new, answer, now);
 	if (is_new)
 	{
 		state.unwritten.insert(std::string{});
-		judge(state, now);
+		evaluate_and_suspend(state, now);
 	}
 }
 
-void version_shift::note_usual(service_state& state, const answer_sample& answer)
+void version_shift::record_baseline(service_state& state, const answer_sample& answer)
 {
 	if (answer.kind == sample_kind::pace)
 	{
-		state.usual_paces[time_key(answer)].note(answer.relative_time);
+		state.baseline_event_intervals[latency_key(answer)].note(answer.relative_time);
 	}
 }
 
-void version_shift::note_before(version_evidence& to, const answer_sample& answer)
+void version_shift::record_pre_trial(version_evidence& to, const answer_sample& answer)
 {
 	if (answer.kind == sample_kind::answer)
 	{
 		add_outcome(answer, to.by_route[answer.route].before);
 	}
-	times_of(to, answer).before.note(answer.relative_time);
+	latencies_of(to, answer).before.note(answer.relative_time);
 }
 
 bool version_shift::is_control(const service_state& state, std::uint64_t replica) const
 {
 	const auto count = static_cast<double>(std::max<std::size_t>(1, old_replicas(state)));
-	return unit_of(replica) < static_cast<double>(tuning_.control_replicas) / count;
+	return unit_of(replica) < static_cast<double>(tuning_.control_replica_count) / count;
 }
 
-/// Times are compared during the trial only, and not at its peak: else the engines of the two versions bear
-/// unlike loads.
-void version_shift::note_seen(
+/// Latencies are compared during the trial only, and not in its peak-load phase: otherwise the engines of the
+/// two versions carry different loads.
+void version_shift::record_sample(
 	service_state& state, bool is_new, const answer_sample& answer, instant now) const
 {
 	const auto schedule = schedule_of(*state.plan);
-	const auto part = part_of(*state.plan, now);
-	const auto sums = {&state.own, &state.known, &state.to_write};
-	if (!is_new && part < schedule.trial_at())
+	const auto elapsed = elapsed_fraction(*state.plan, now);
+	const auto sums = {&state.own, &state.total, &state.to_write};
+	if (!is_new && elapsed < schedule.trial_starts_at())
 	{
 		for (auto* to : sums)
 		{
-			note_before(*to, answer);
+			record_pre_trial(*to, answer);
 		}
 		return;
 	}
@@ -202,24 +203,24 @@
 	{
 		return;
 	}
-	const bool at_peak = is_at_peak(state, now);
-	const bool is_late = schedule.is_at_peak(part);
-	const bool is_growing = state.plan->promoted && part >= schedule.trial_ends_at();
-	const auto group = mix_hash(answer.replica, group_salt) % replica_groups;
-	const auto cell = cell_of(group, random_below(random_, answer_halves));
+	const bool is_peak_load = carries_peak_load(state, now);
+	const bool is_peak_load_phase = schedule.is_peak_load_phase(elapsed);
+	const bool is_ramping_up = state.plan->promoted && elapsed >= schedule.trial_ends_at();
+	const auto group = mix_hash(answer.replica, group_hash_seed) % replica_group_count;
+	const auto cell = cell_of(group, random_below(random_, fold_count));
 	for (auto* to : sums)
 	{
 		if (answer.kind == sample_kind::answer)
 		{
 			note_outcome(to->by_route[answer.route], is_new, cell, answer);
-			if (is_late)
+			if (is_peak_load_phase)
 			{
 				note_outcome(to->late, is_new, cell, answer);
 			}
 		}
-		if (!is_growing && !at_peak)
+		if (!is_ramping_up && !is_peak_load)
 		{
-			auto& times = times_of(*to, answer);
+			auto& times = latencies_of(*to, answer);
 			(is_new ? times.new_version : times.old_version)[cell].note(answer.relative_time);
 		}
 	}
@@ -231,101 +232,103 @@
 	return state != nullptr && evidence_due_at(*state).has_value();
 }
 
-/// Evidence is written as its bad answers grow, and at the end of a trial where the answers known here don't
-/// show that the version is good: those known elsewhere may, together with these.
+/// Evidence is written as the number of its bad responses grows, and at the end of a trial if the responses
+/// known to this VM don't show that the version is good: together with those known to other VMs they may.
 std::optional<instant> version_shift::evidence_due_at(const service_state& state) const
 {
 	if (!reads_registry_ || !is_running(state) || state.unwritten.empty())
 	{
 		return std::nullopt;
 	}
-	const auto grown = static_cast<double>(state.written_bad) * tuning_.report_growth;
-	if (state.suspicious > state.written_bad && static_cast<double>(state.suspicious) >= grown)
+	const auto grown = static_cast<double>(state.last_written_bad) * tuning_.report_growth_factor;
+	if (state.bad_to_write > state.last_written_bad && static_cast<double>(state.bad_to_write) >= grown)
 	{
-		return state.written_at + tuning_.report_pause;
+		return state.last_written_at + tuning_.min_report_interval;
 	}
 	if (state.plan->promoted || state.suspended || state.proof.is_shown)
 	{
 		return std::nullopt;
 	}
-	const auto closing_at =
-		moment_of(*state.plan, schedule_of(*state.plan).trial_ends_at()) - tuning_.closing;
-	return std::max(closing_at, state.written_at + tuning_.closing_pause);
+	const auto final_report_at =
+		time_at(*state.plan, schedule_of(*state.plan).trial_ends_at()) - tuning_.final_report_lead;
+	return std::max(final_report_at, state.last_written_at + tuning_.final_report_interval);
 }
 
 std::vector<reported_evidence> version_shift::take_evidence(
 	const service_id& service, service_state& state, instant now)
 {
-	state.written_bad = state.suspicious;
-	state.written_at = now;
+	state.last_written_bad = state.bad_to_write;
+	state.last_written_at = now;
 	std::vector<reported_evidence> taken;
-	while (!state.unwritten.empty() && taken.size() < tuning_.most_reported)
+	while (!state.unwritten.empty() && taken.size() < tuning_.max_reporters_per_write)
 	{
 		const auto reporter = state.unwritten.extract(state.unwritten.begin()).value();
-		const auto& seen = reporter.empty() ? state.own : state.others[reporter];
+		const auto& seen = reporter.empty() ? state.own : state.by_reporter[reporter];
 		taken.push_back({reporter, {service, state.plan->order, seen}});
 	}
 	return taken;
 }
 
-/// Makes of the known answers what is asked for later.
-void version_shift::weigh(service_state& state) const
+/// Evaluates the known responses and stores the results.
+void version_shift::evaluate(service_state& state) const
 {
 	if (!reads_registry_)
 	{
-		state.verdict = rollout::judge(state.known, tuning_.verdict);
+		state.verdict = rollout::judge(state.total, tuning_.verdict);
 		return;
 	}
-	auto assessed = assess(state.known, tuning_.verdict);
+	auto assessed = assess(state.total, tuning_.verdict);
 	state.verdict = std::move(assessed.verdict);
 	state.proof = assessed.proof;
 	auto reported = tuning_.verdict;
-	reported.fewest_failed = tuning_.fewest_reported;
-	reported.fewest_slow = tuning_.fewest_reported;
+	reported.min_failures = tuning_.min_reported_bad;
+	reported.min_slow_responses = tuning_.min_reported_bad;
 	const auto to_write = rollout::judge(state.to_write, reported);
-	state.suspicious = to_write.evidence > 0 ? to_write.bad : 0;
+	state.bad_to_write = to_write.evidence > 0 ? to_write.bad : 0;
 }
 
-/// A VM that reads the registry knows what many VMs saw: with the trial over it looks once more, since the
-/// version would get all traffic next. Others know too little for that; they would find chance.
-void version_shift::judge(service_state& state, instant now)
+/// A VM that reads the registry knows the evidence of many VMs, and applies the lower bound at the end of the
+/// trial, after which the version would get all traffic. Other VMs know too few responses for the lower bound
+/// and would have false positives.
+void version_shift::evaluate_and_suspend(service_state& state, instant now)
 {
 	if (state.suspended || !is_running(state))
 	{
 		return;
 	}
-	weigh(state);
-	const bool is_trial_over = part_of(*state.plan, now) >= schedule_of(*state.plan).trial_ends_at();
+	evaluate(state);
+	const bool is_trial_over = elapsed_fraction(*state.plan, now) >= schedule_of(*state.plan).trial_ends_at();
 	const bool is_last_look = reads_registry_ && is_trial_over;
-	const auto bound = is_last_look ? tuning_.verdict.doubtful : tuning_.verdict.conclusive;
+	const auto bound =
+		is_last_look ? tuning_.verdict.end_of_trial_log_evidence : tuning_.verdict.conclusive_log_evidence;
 	if (state.verdict.evidence > bound)
 	{
 		suspend(state, false);
-		state.act_at = reads_registry_ ? now : now + random_delay();
+		state.next_action_at = reads_registry_ ? now : now + random_delay();
 		return;
 	}
-	if (!state.bad_since && state.proof.bad >= tuning_.patience_bad)
+	if (!state.proof_deadline_start && state.proof.bad >= tuning_.proof_deadline_bad_responses)
 	{
-		state.bad_since = now;
+		state.proof_deadline_start = now;
 	}
-	schedule_sooner(state, now);
+	reschedule_if_sooner(state, now);
 }
 
-void version_shift::suspend(service_state& state, bool told)
+void version_shift::suspend(service_state& state, bool by_peer)
 {
 	state.suspended = true;
-	news_({*state.plan, true, told, summary_of(state)});
+	event_callback_({*state.plan, true, by_peer, summary_of(state)});
 }
 
 shift_summary version_shift::summary_of(const service_state& state) const
 {
-	const auto all = state.known.all_routes();
+	const auto all = state.total.all_routes();
 	shift_summary summary;
 	summary.old_version = all.old_version.sum();
 	summary.new_version = all.new_version.sum();
 	summary.verdict = state.verdict;
 	summary.proof = state.proof;
-	summary.vms = state.others.size() + 1;
+	summary.vms = state.by_reporter.size() + 1;
 	return summary;
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/version_shift_plans.cpp
+++ b/src/rollout/version_shift_plans.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Moves a service's traffic from one software version to another: when a plan begins, when its new version is
-// promoted, completed or given back, and which VM says so.
+// promoted, completed or rolled back, and which VM writes this.
 #include <algorithm>
 #include <gingerdyke/rollout/version_shift.hpp>
 
@@ -11,79 +11,79 @@
 	return state.order && (!state.plan || state.plan->order < state.order->order);
 }
 
-bool version_shift::knows_verdict(const service_state& state, instant now) const
+bool version_shift::may_declare_completed(const service_state& state, instant now) const
 {
-	const auto first_use = moment_of(*state.plan, tuning_.schedule.trial_at);
-	if (state.followed_since < first_use)
+	const auto trial_start = time_at(*state.plan, tuning_.schedule.trial_starts_at);
+	if (state.followed_since < trial_start)
 	{
 		return true;
 	}
-	return now - state.followed_since >= tuning_.late_wait &&
-		   state.known.new_answers() >= tuning_.late_answers;
+	return now - state.followed_since >= tuning_.late_follower_wait &&
+		   state.total.new_answers() >= tuning_.late_follower_min_responses;
 }
 
-instant version_shift::completed_at(const shift_plan& plan) const
+instant version_shift::completion_time(const shift_plan& plan) const
 {
-	return moment_of(plan, schedule_of(plan).complete_at(promoted_part(plan)));
+	return time_at(plan, schedule_of(plan).completes_at(promoted_fraction(plan)));
 }
 
-/// Only a VM that reads the registry knows enough of what others saw.
-bool version_shift::is_promotable(const service_state& state, instant now) const
+/// Only a VM that reads the registry knows enough of the other VMs' evidence.
+bool version_shift::may_be_promoted(const service_state& state, instant now) const
 {
 	const auto& plan = *state.plan;
 	return !plan.promoted && !state.suspended && reads_registry_ && state.proof.is_shown &&
-		   part_of(plan, now) >= schedule_of(plan).trial_ends_at();
+		   elapsed_fraction(plan, now) >= schedule_of(plan).trial_ends_at();
 }
 
-/// When a version on trial that is not shown to be good is given back: in the order's time, or later where
+/// When a version on trial that is not shown to be good is rolled back: at the end of the shift, or later if
 /// this VM missed a part of the trial.
-instant version_shift::give_back_at(const service_state& state) const
+instant version_shift::rollback_time(const service_state& state) const
 {
 	const auto& plan = *state.plan;
-	const auto in_time = moment_of(plan, schedule_of(plan).complete_at());
-	if (state.followed_since < moment_of(plan, tuning_.schedule.trial_at))
+	const auto regular_end = time_at(plan, schedule_of(plan).completes_at());
+	if (state.followed_since < time_at(plan, tuning_.schedule.trial_starts_at))
 	{
-		return in_time;
+		return regular_end;
 	}
-	const auto held = state.followed_since + scaled(plan.length, tuning_.late_hold);
-	return std::clamp(held, in_time, moment_of(plan, tuning_.longest_hold));
+	const auto hold_end = state.followed_since + scaled(plan.length, tuning_.late_follower_hold);
+	return std::clamp(hold_end, regular_end, time_at(plan, tuning_.max_trial_length));
 }
 
-/// When the new version is suspended unless it is shown to be good until then; none: nothing asks for it.
-std::optional<instant> version_shift::unproven_at(const service_state& state) const
+/// When the new version is suspended unless it is shown to be good before; none: there is no deadline.
+std::optional<instant> version_shift::proof_deadline_time(const service_state& state) const
 {
 	if (!reads_registry_ || state.suspended || state.proof.is_shown)
 	{
 		return std::nullopt;
 	}
 	std::optional<instant> at;
-	if (state.bad_since)
+	if (state.proof_deadline_start)
 	{
-		at = *state.bad_since + tuning_.patience;
+		at = *state.proof_deadline_start + tuning_.proof_deadline;
 	}
 	if (!state.plan->promoted)
 	{
-		const auto end = give_back_at(state);
+		const auto end = rollback_time(state);
 		at = std::min(at.value_or(end), end);
 	}
 	return at;
 }
 
-/// Held for ever, a version of which too little is seen would neither serve nor be replaced; completed, a bad
-/// one would get everything.
-void version_shift::give_back_unproven(service_state& state, instant now)
+/// A version with too little evidence must not stay on trial forever, where it would neither serve nor be
+/// replaced. Completing it could give all traffic to a bad version, so it is rolled back.
+void version_shift::suspend_if_unproven(service_state& state, instant now)
 {
 	if (!is_running(state) || !clock_offset_)
 	{
 		return;
 	}
-	const auto at = unproven_at(state);
-	const bool has_bad_answers = state.bad_since.has_value();
-	if (!at || now < *at || (!has_bad_answers && !has_fresh_news(now)))
+	const auto at = proof_deadline_time(state);
+	const bool has_bad_answers = state.proof_deadline_start.has_value();
+	if (!at || now < *at || (!has_bad_answers && !has_registry_contact(now)))
 	{
 		return;
 	}
-	state.verdict.ground = verdict_ground::unproven;
+	state.verdict.ground = verdict_reason::unproven;
 	suspend(state, false);
 }
 
@@ -96,8 +96,8 @@
 	shift_plan plan;
 	plan.from_version = state.stable_version;
 	plan.to_version = state.order->to_version;
-	// The operator's time runs from the order: what passes until the plan is written is a part of it.
-	plan.started = registry_now(state.order_known_at);
+	// The length of the shift counts from the order, so it includes the time until the plan is written.
+	plan.started = registry_now(state.order_received_at);
 	plan.length = state.order->length;
 	plan.order = state.order->order;
 	plan.row = state.plan ? state.plan->row : row_version{0};
@@ -120,17 +120,17 @@
 		plan.state = shift_state::rolled_back;
 		return plan;
 	}
-	if (!has_fresh_news(now))
+	if (!has_registry_contact(now))
 	{
 		return std::nullopt;
 	}
-	if (is_promotable(state, now))
+	if (may_be_promoted(state, now))
 	{
 		plan.promoted = registry_now(now);
 		return plan;
 	}
-	const bool is_over = plan.promoted && now >= completed_at(plan);
-	if (is_over && knows_verdict(state, now))
+	const bool is_complete_due = plan.promoted && now >= completion_time(plan);
+	if (is_complete_due && may_declare_completed(state, now))
 	{
 		plan.state = shift_state::completed;
 		return plan;
@@ -138,7 +138,7 @@
 	return std::nullopt;
 }
 
-std::optional<instant> version_shift::moment_to_act(const service_state& state, instant now) const
+std::optional<instant> version_shift::next_action_time(const service_state& state, instant now) const
 {
 	if (has_new_order(state))
 	{
@@ -153,36 +153,36 @@
 		return now + random_delay();
 	}
 	const auto& plan = *state.plan;
-	const auto goes_on =
-		plan.promoted ? completed_at(plan) : moment_of(plan, schedule_of(plan).trial_ends_at());
+	const auto next_transition =
+		plan.promoted ? completion_time(plan) : time_at(plan, schedule_of(plan).trial_ends_at());
 	const bool is_waiting_for_proof = !plan.promoted && !state.proof.is_shown;
-	std::optional<instant> at = unproven_at(state);
-	if (!is_waiting_for_proof || now < goes_on)
+	std::optional<instant> at = proof_deadline_time(state);
+	if (!is_waiting_for_proof || now < next_transition)
 	{
-		at = std::min(at.value_or(goes_on), goes_on);
+		at = std::min(at.value_or(next_transition), next_transition);
 	}
 	return at ? std::optional{std::max(*at, now) + random_delay()} : std::nullopt;
 }
 
 void version_shift::schedule(service_state& state, instant now)
 {
-	state.act_at = moment_to_act(state, now);
+	state.next_action_at = next_action_time(state, now);
 }
 
-/// A moment that was set before stays where it is sooner: set anew with each answer, it would never come.
-void version_shift::schedule_sooner(service_state& state, instant now)
+/// Keeps an earlier time that is already set: if each response set it anew, it would never be reached.
+void version_shift::reschedule_if_sooner(service_state& state, instant now)
 {
-	const auto at = moment_to_act(state, now);
-	if (at && (!state.act_at || *at < *state.act_at))
+	const auto at = next_action_time(state, now);
+	if (at && (!state.next_action_at || *at < *state.next_action_at))
 	{
-		state.act_at = at;
+		state.next_action_at = at;
 	}
 }
 
 duration version_shift::random_delay() const
 {
-	const auto spread = reads_registry_ ? tuning_.spread : tuning_.reader_advantage;
-	const auto least = reads_registry_ ? duration{0} : tuning_.reader_advantage;
-	return least + scaled(spread, random_unit(random_));
+	const auto action_jitter = reads_registry_ ? tuning_.action_jitter : tuning_.non_reader_delay;
+	const auto min_delay = reads_registry_ ? duration{0} : tuning_.non_reader_delay;
+	return min_delay + scaled(action_jitter, random_unit(random_));
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/version_verdict.cpp
+++ b/src/rollout/version_verdict.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Whether a new version is worse than the old one, or shown to be as good.
+// Decides whether a new version is worse than the old one, or shown to be as good.
 #include <algorithm>
 #include <boost/math/distributions/binomial.hpp>
 #include <cmath>
@@ -11,16 +11,16 @@
 {
 namespace
 {
-/// Bounds of a tolerated share that the tests can work with.
-constexpr double least_tolerated = 0.01;
-constexpr double most_tolerated = 0.9;
+/// Range of tolerated ratios for which the statistical tests are valid.
+constexpr double min_tolerated = 0.01;
+constexpr double max_tolerated = 0.9;
 
-/// The better half of each version's replicas, by their failures on all routes together: a sick replica is
-/// sick on each of them, and one route's answers are few.
-struct sound_cells
+/// The cells of each version's healthy replicas, selected by their failures on all routes together: a faulty
+/// replica fails on all routes, and a single route has few responses.
+struct healthy_version_cells
 {
-	explicit sound_cells(const route_evidence& all)
-		: of_old(better_half(all.old_version)), of_new(better_half(all.new_version))
+	explicit healthy_version_cells(const route_evidence& all)
+		: of_old(healthy_cells(all.old_version)), of_new(healthy_cells(all.new_version))
 	{
 	}
 
@@ -28,81 +28,85 @@
 	cell_set of_new;
 };
 
-/// The old version's share of failures at its better half, beside the new one; before it where that is not
-/// known well enough.
-double sound_old_share(const route_evidence& seen, const sound_cells& sound, const verdict_tuning& tuning)
+/// The old version's failure ratio at its healthy replicas during the trial, or before the trial if there are
+/// too few responses.
+double healthy_old_failure_ratio(
+	const route_evidence& seen, const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
-	const auto beside = seen.old_version.sum(sound.of_old);
-	return beside.answers >= tuning.times.fewest_old ? beside.share() : seen.before.share();
+	const auto during_trial = seen.old_version.sum(healthy.of_old);
+	return during_trial.answers >= tuning.latencies.min_old_responses ? during_trial.bad_ratio()
+																	  : seen.before.bad_ratio();
 }
 
-double overall_old_share(const route_evidence& seen)
+double overall_old_failure_ratio(const route_evidence& seen)
 {
 	auto all = seen.before;
 	all += seen.old_version.sum();
-	return all.share();
+	return all.bad_ratio();
 }
 
-/// \param judged Answers of the new version.
+/// \param judged Responses of the new version.
 version_verdict judge_failures(
 	const std::string& route, const answer_counts& judged, double tolerated, const verdict_tuning& tuning)
 {
-	const auto bounded = std::clamp(tolerated, least_tolerated, most_tolerated);
-	version_verdict verdict{verdict_ground::failures, route, judged.answers, judged.failed, bounded, 0};
-	if (judged.failed >= tuning.fewest_failed)
+	const auto bounded = std::clamp(tolerated, min_tolerated, max_tolerated);
+	version_verdict verdict{verdict_reason::failures, route, judged.answers, judged.failed, bounded, 0};
+	if (judged.failed >= tuning.min_failures)
 	{
 		verdict.evidence = log_evidence_against(judged.answers, judged.failed, bounded);
 	}
 	return verdict;
 }
 
-version_verdict judge_route(const std::string& route, const route_evidence& seen, const sound_cells& sound,
-	const verdict_tuning& tuning)
+version_verdict judge_route(const std::string& route, const route_evidence& seen,
+	const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
-	const auto old_share = sound_old_share(seen, sound, tuning);
-	const auto tolerated = tuning.tolerated_failures + tuning.tolerated_multiple * old_share;
-	return judge_failures(route, seen.new_version.sum(sound.of_new), tolerated, tuning);
+	const auto old_share = healthy_old_failure_ratio(seen, healthy, tuning);
+	const auto tolerated = tuning.tolerated_failures + tuning.tolerated_factor * old_share;
+	return judge_failures(route, seen.new_version.sum(healthy.of_new), tolerated, tuning);
 }
 
-/// Share of failures that a trial's replicas showed before its last part, each by the answers that it gives
-/// there: some are sick from the start.
-double share_before_late(const version_evidence& seen, const route_evidence& all)
+/// The failure ratio that the replicas of the peak-load phase had before it, weighted by their number of
+/// responses in it: some replicas are faulty from the start.
+double failure_ratio_before_peak_load(const version_evidence& seen, const route_evidence& all)
 {
-	// Of a group with few answers, those of all groups tell about as much as so many of its own.
-	constexpr double common_answers = 2;
+	// Smoothing for groups with few responses: the overall ratio counts as this many responses.
+	constexpr double smoothing_responses = 2;
 	auto before = all.new_version;
 	before -= seen.late.new_version;
-	const auto common = before.sum().share();
+	const auto overall_ratio = before.sum().bad_ratio();
 	double expected = 0;
 	double answers = 0;
 	for (const auto& [cell, counts] : seen.late.new_version)
 	{
-		const auto* known = before.find(cell);
-		const auto own = known == nullptr ? answer_counts{} : *known;
-		const auto share = (static_cast<double>(own.failed) + common_answers * common) /
-						   (static_cast<double>(own.answers) + common_answers);
+		const auto* found = before.find(cell);
+		const auto group_counts = found == nullptr ? answer_counts{} : *found;
+		const auto share = (static_cast<double>(group_counts.failed) + smoothing_responses * overall_ratio) /
+						   (static_cast<double>(group_counts.answers) + smoothing_responses);
 		expected += share * static_cast<double>(counts.answers);
 		answers += static_cast<double>(counts.answers);
 	}
-	return answers > 0 ? expected / answers : common;
+	return answers > 0 ? expected / answers : overall_ratio;
 }
 
-version_verdict judge_late(const version_evidence& seen, const route_evidence& all, const sound_cells& sound,
-	const verdict_tuning& tuning)
+version_verdict judge_peak_load(const version_evidence& seen, const route_evidence& all,
+	const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
-	const auto usual = std::max(sound_old_share(seen.late, sound, tuning), share_before_late(seen, all));
-	const auto tolerated = tuning.tolerated_late + tuning.tolerated_multiple * usual;
+	const auto reference_ratio = std::max(
+		healthy_old_failure_ratio(seen.late, healthy, tuning), failure_ratio_before_peak_load(seen, all));
+	const auto tolerated = tuning.tolerated_peak_load + tuning.tolerated_factor * reference_ratio;
 	return judge_failures({}, seen.late.new_version.sum(), tolerated, tuning);
 }
 
 version_verdict judge_overall(const route_evidence& all, const verdict_tuning& tuning)
 {
-	const auto compared = tuning.tolerated_failures + tuning.tolerated_multiple * overall_old_share(all);
+	const auto compared =
+		tuning.tolerated_failures + tuning.tolerated_factor * overall_old_failure_ratio(all);
 	const auto tolerated = std::max(tuning.tolerated_overall, compared);
 	return judge_failures({}, all.new_version.sum(), tolerated, tuning);
 }
 
-/// Slow answers of one model, and how many of them are tolerated.
+/// Slow responses of one model, and how many of them are tolerated.
 struct slow_counts
 {
 	double answers{};
@@ -110,12 +114,13 @@
 	double tolerated{};
 };
 
-slow_counts slow_answers(const compared_times& times, const verdict_tuning& tuning)
+slow_counts count_slow_and_tolerated(const latency_comparison& latencies, const verdict_tuning& tuning)
 {
-	const auto answers = static_cast<double>(times.new_version.size());
-	// A burst now slows both versions: no more is asked of the new one than of the old one beside it.
-	const auto fast_share = times.old_version.share_within(times.fast_within);
-	const auto slow = answers * (1 - times.new_version.share_within(times.fast_within));
+	const auto answers = static_cast<double>(latencies.new_version.size());
+	// A burst during the trial slows both versions, so the limit is the old version's fraction of fast
+	// responses in the same period.
+	const auto fast_share = latencies.old_version.fraction_within(latencies.fast_limit_latency);
+	const auto slow = answers * (1 - latencies.new_version.fraction_within(latencies.fast_limit_latency));
 	return {answers, slow, answers * (1 - tuning.tolerated_fast * fast_share)};
 }
 
@@ -123,26 +128,26 @@
 {
 	const auto answers = static_cast<std::uint64_t>(counts.answers);
 	const auto slow = static_cast<std::uint64_t>(std::lround(counts.slow));
-	const auto share = counts.answers <= 0 ? most_tolerated : counts.tolerated / counts.answers;
-	const auto tolerated = std::clamp(share, least_tolerated, most_tolerated);
-	version_verdict verdict{verdict_ground::times, model, answers, slow, tolerated, 0};
-	if (slow >= tuning.fewest_slow)
+	const auto share = counts.answers <= 0 ? max_tolerated : counts.tolerated / counts.answers;
+	const auto tolerated = std::clamp(share, min_tolerated, max_tolerated);
+	version_verdict verdict{verdict_reason::latency, model, answers, slow, tolerated, 0};
+	if (slow >= tuning.min_slow_responses)
 	{
 		verdict.evidence = log_evidence_against(answers, slow, tolerated);
 	}
 	return verdict;
 }
 
-/// Each model's times, and all together.
-std::vector<version_verdict> judge_times(
-	const std::vector<compared_times>& times, const verdict_tuning& tuning)
+/// Verdicts on the latencies of each model, and of all models together.
+std::vector<version_verdict> judge_latencies(
+	const std::vector<latency_comparison>& latencies, const verdict_tuning& tuning)
 {
 	std::vector<version_verdict> verdicts;
 	slow_counts all;
-	for (const auto& one : times)
+	for (const auto& comparison : latencies)
 	{
-		const auto counts = slow_answers(one, tuning);
-		verdicts.push_back(judge_slow(one.model, counts, tuning));
+		const auto counts = count_slow_and_tolerated(comparison, tuning);
+		verdicts.push_back(judge_slow(comparison.model, counts, tuning));
 		all.answers += counts.answers;
 		all.slow += counts.slow;
 		all.tolerated += counts.tolerated;
@@ -151,8 +156,8 @@
 	return verdicts;
 }
 
-/// Probability of so few failures where the tolerated share fails.
-double risk_of(const answer_counts& judged, double tolerated)
+/// Probability of at most this many failures at the tolerated failure ratio.
+double probability_of_so_few(const answer_counts& judged, double tolerated)
 {
 	if (judged.answers == 0)
 	{
@@ -162,8 +167,8 @@
 	return boost::math::cdf(failures, static_cast<double>(judged.failed));
 }
 
-/// What failures show of a part of the answers: by all of its replicas or by the better half of them,
-/// whichever shows more. Few answers are too few by half.
+/// Result of the failure test on a subset of the responses, evaluated on all replicas and on the healthy
+/// ones; the stronger result counts. With few responses, half of them are not enough.
 struct failure_proof
 {
 	answer_counts judged;
@@ -171,20 +176,22 @@
 	double risk{1};
 };
 
-/// The share of failures that a version which is as good as the old one stays below.
-double most_of_good(const route_evidence& seen, const sound_cells& sound, const verdict_tuning& tuning)
+/// Upper bound of the failure ratio of a version that is as good as the old one.
+double good_failure_ratio_bound(
+	const route_evidence& seen, const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
-	return std::min(tuning.most_failures, sound_old_share(seen, sound, tuning) + tuning.margin);
+	return std::min(tuning.max_failure_ratio,
+		healthy_old_failure_ratio(seen, healthy, tuning) + tuning.noninferiority_margin);
 }
 
 failure_proof prove_failures(
-	const route_evidence& seen, const sound_cells& sound, const verdict_tuning& tuning)
+	const route_evidence& seen, const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
 	failure_proof proof;
-	proof.tolerated = most_of_good(seen, sound, tuning);
-	for (const auto& judged : {seen.new_version.sum(), seen.new_version.sum(sound.of_new)})
+	proof.tolerated = good_failure_ratio_bound(seen, healthy, tuning);
+	for (const auto& judged : {seen.new_version.sum(), seen.new_version.sum(healthy.of_new)})
 	{
-		const auto risk = risk_of(judged, proof.tolerated);
+		const auto risk = probability_of_so_few(judged, proof.tolerated);
 		if (risk < proof.risk)
 		{
 			proof.risk = risk;
@@ -194,81 +201,88 @@
 	return proof;
 }
 
-/// A route, or the last part of the trial, that looks as bad as a bad version would there. Its answers may be
-/// too few to show that it is good, which is left to all of them together.
-bool is_doubtful(const route_evidence& seen, const sound_cells& sound, const verdict_tuning& tuning)
+/// Whether a route or the peak-load phase looks as bad as it would for a bad version. It may have too few
+/// responses to show that it is good; that is left to the test on all responses.
+bool is_doubtful(
+	const route_evidence& seen, const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
-	const auto judged = seen.new_version.sum(sound.of_new);
-	const auto tolerated = most_of_good(seen, sound, tuning);
-	return judged.failed >= tuning.fewest_doubtful && judged.share() >= tuning.doubtful_part * tolerated;
+	const auto judged = seen.new_version.sum(healthy.of_new);
+	const auto tolerated = good_failure_ratio_bound(seen, healthy, tuning);
+	return judged.failed >= tuning.min_doubtful_failures &&
+		   judged.bad_ratio() >= tuning.doubtful_ratio * tolerated;
 }
 
-bool has_doubtful_part(const version_evidence& seen, const sound_cells& sound, const verdict_tuning& tuning)
+bool has_doubtful_part(
+	const version_evidence& seen, const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
 	const auto is_doubtful_route = [&](const auto& entry)
-	{ return is_doubtful(entry.second, sound, tuning); };
-	return is_doubtful(seen.late, sound, tuning) ||
+	{ return is_doubtful(entry.second, healthy, tuning); };
+	return is_doubtful(seen.late, healthy, tuning) ||
 		   std::any_of(seen.by_route.begin(), seen.by_route.end(), is_doubtful_route);
 }
 
-double evidence_as_fast(const std::vector<compared_times>& times)
+double log_evidence_of_speed(const std::vector<latency_comparison>& latencies)
 {
-	return std::max(log_evidence_as_fast(times, true), log_evidence_as_fast(times, false));
+	return std::max(log_evidence_as_fast(latencies, true), log_evidence_as_fast(latencies, false));
 }
 
-/// Answers that a version as fast as the old one would hardly give. Paces count against idle engines': those
-/// of an overloaded old version hide that the new one's are slow.
-std::uint64_t count_slow(const std::vector<compared_times>& times, bool are_paces, const time_tuning& tuning)
+/// Number of responses that a version as fast as the old one would rarely give. Event intervals are compared
+/// with those of idle engines, since those of an overloaded old version hide that the new version is slow.
+std::uint64_t count_slow(
+	const std::vector<latency_comparison>& latencies, bool are_event_intervals, const latency_tuning& tuning)
 {
 	double slow = 0;
-	for (const auto& one : times)
+	for (const auto& comparison : latencies)
 	{
-		const auto limit =
-			are_paces ? std::min(one.fast_within, one.fastest * tuning.fastest_multiple) : one.fast_within;
-		slow += static_cast<double>(one.all_new.size()) * (1 - one.all_new.share_within(limit));
+		const auto limit = are_event_intervals ? std::min(comparison.fast_limit_latency,
+													 comparison.fastest * tuning.fastest_factor)
+											   : comparison.fast_limit_latency;
+		slow +=
+			static_cast<double>(comparison.all_new.size()) * (1 - comparison.all_new.fraction_within(limit));
 	}
 	return static_cast<std::uint64_t>(std::lround(slow));
 }
 
-/// What both decisions rest on.
+/// The compared observations that both decisions use.
 struct compared_evidence
 {
 	compared_evidence(const version_evidence& of, const verdict_tuning& tuning)
-		: seen(of), all_routes(of.all_routes()), sound(all_routes),
-		  times(compare_times(of.by_model, tuning.times)), paces(compare_times(of.by_pace, tuning.times))
+		: seen(of), all_routes(of.all_routes()), healthy(all_routes),
+		  latencies(compare_latencies(of.by_model, tuning.latencies)),
+		  event_intervals(compare_latencies(of.by_pace, tuning.latencies))
 	{
 	}
 
 	const version_evidence& seen;
 	route_evidence all_routes;
-	sound_cells sound;
-	std::vector<compared_times> times;
-	std::vector<compared_times> paces;
+	healthy_version_cells healthy;
+	std::vector<latency_comparison> latencies;
+	std::vector<latency_comparison> event_intervals;
 };
 
 version_verdict judge_compared(const compared_evidence& compared, const verdict_tuning& tuning)
 {
-	const auto& [seen, all_routes, sound, times, paces] = compared;
+	const auto& [seen, all_routes, healthy, latencies, event_intervals] = compared;
 	version_verdict worst;
 	worst.evidence = -std::numeric_limits<double>::infinity();
-	const auto consider = [&worst](const version_verdict& one)
+	const auto consider = [&worst](const version_verdict& candidate)
 	{
-		if (one.evidence > worst.evidence)
+		if (candidate.evidence > worst.evidence)
 		{
-			worst = one;
+			worst = candidate;
 		}
 	};
-	for (const auto& [route, one] : seen.by_route)
+	for (const auto& [route, evidence] : seen.by_route)
 	{
-		consider(judge_route(route, one, sound, tuning));
+		consider(judge_route(route, evidence, healthy, tuning));
 	}
-	consider(judge_late(seen, all_routes, sound, tuning));
+	consider(judge_peak_load(seen, all_routes, healthy, tuning));
 	consider(judge_overall(all_routes, tuning));
-	for (const auto* of_kind : {&times, &paces})
+	for (const auto* of_kind : {&latencies, &event_intervals})
 	{
-		for (const auto& one : judge_times(*of_kind, tuning))
+		for (const auto& verdict : judge_latencies(*of_kind, tuning))
 		{
-			consider(one);
+			consider(verdict);
 		}
 	}
 	return worst;
@@ -276,38 +290,40 @@
 
 version_proof prove_compared(const compared_evidence& compared, const verdict_tuning& tuning)
 {
-	const auto& [seen, all_routes, sound, times, paces] = compared;
+	const auto& [seen, all_routes, healthy, latencies, event_intervals] = compared;
 	version_proof proof;
-	const auto failures = prove_failures(all_routes, sound, tuning);
+	const auto failures = prove_failures(all_routes, healthy, tuning);
 	proof.judged = failures.judged;
 	proof.tolerated = failures.tolerated;
 	proof.failure_risk = failures.risk;
-	proof.has_doubtful_part = has_doubtful_part(seen, sound, tuning);
-	proof.fast_evidence = evidence_as_fast(times);
-	if (!paces.empty())
+	proof.has_doubtful_part = has_doubtful_part(seen, healthy, tuning);
+	proof.fast_evidence = log_evidence_of_speed(latencies);
+	if (!event_intervals.empty())
 	{
-		proof.fast_evidence = std::min(proof.fast_evidence, evidence_as_fast(paces));
-		proof.slow_risk = risk_of_slow_at_best(paces, tuning.times);
+		proof.fast_evidence = std::min(proof.fast_evidence, log_evidence_of_speed(event_intervals));
+		proof.slow_risk = probability_if_slow(event_intervals, tuning.latencies);
 	}
-	proof.bad = std::max({all_routes.new_version.sum().failed, count_slow(times, false, tuning.times),
-		count_slow(paces, true, tuning.times)});
-	const bool is_fast = proof.fast_evidence >= -std::log(tuning.risk) && proof.slow_risk <= tuning.risk;
-	proof.is_shown = proof.failure_risk <= tuning.risk && !proof.has_doubtful_part && is_fast;
+	proof.bad = std::max({all_routes.new_version.sum().failed, count_slow(latencies, false, tuning.latencies),
+		count_slow(event_intervals, true, tuning.latencies)});
+	const bool is_fast = proof.fast_evidence >= -std::log(tuning.max_error_probability) &&
+						 proof.slow_risk <= tuning.max_error_probability;
+	proof.is_shown =
+		proof.failure_risk <= tuning.max_error_probability && !proof.has_doubtful_part && is_fast;
 	return proof;
 }
 } // namespace
 
-const char* name_of(verdict_ground ground) noexcept
+const char* name_of(verdict_reason ground) noexcept
 {
 	switch (ground)
 	{
-	case verdict_ground::none:
+	case verdict_reason::none:
 		return "none";
-	case verdict_ground::failures:
+	case verdict_reason::failures:
 		return "failures";
-	case verdict_ground::times:
+	case verdict_reason::latency:
 		return "times";
-	case verdict_ground::unproven:
+	case verdict_reason::unproven:
 		return "unproven";
 	}
 	return "unknown";
