--- a/emulator/shift_emulator.cpp
+++ b/emulator/shift_emulator.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Plays a shift of versions in virtual time over many VMs, with the decisions of the product.
+// Simulates a shift between versions over many VMs in virtual time, using the production decision code.
 #include "shift_emulator.hpp"
 
 #include <algorithm>
@@ -21,23 +21,24 @@
 const service_id service{"s"};
 constexpr const char* old_version = "v1";
 constexpr const char* new_version = "v2";
-constexpr duration step = milliseconds{50};
+constexpr duration time_step = milliseconds{50};
 
-/// A VM reports to its reader with its polls of the operators' table; the summary comes back with the answer.
-constexpr duration report_pause = milliseconds{250};
+/// A VM sends its report to its reader with each poll of the operators' table; the response contains the
+/// summary.
+constexpr duration report_interval = milliseconds{250};
 
-/// Rows that one reader writes are with the others after this time.
-constexpr duration row_delay = milliseconds{200};
+/// Delay until rows written by one reader reach the others.
+constexpr duration row_propagation_delay = milliseconds{200};
 
-/// After this many bad answers a new version is to be out of use within the time below.
-constexpr std::uint64_t bad_before_verdict = 50;
-constexpr duration verdict_limit = seconds{5};
+/// After this many bad responses the new version must be out of use within the time limit below.
+constexpr std::uint64_t bad_responses_before_verdict = 50;
+constexpr duration verdict_time_limit = seconds{5};
 
-/// Traffic before the order, and before any trouble.
-constexpr duration calm_before = seconds{2};
+/// Time with traffic before the order and before any disturbance.
+constexpr duration warm_up = seconds{2};
 
-/// Registry clock of the emulated platform, ahead of the VMs' own.
-constexpr duration registry_ahead = seconds{7};
+/// Offset of the simulated registry's clock to the VMs' clocks.
+constexpr duration registry_clock_offset = seconds{7};
 
 struct engine
 {
@@ -46,36 +47,37 @@
 	bool is_slowed{};
 	bool is_failing{};
 
-	/// Requests of the last second, as a running mean over steps.
+	/// Requests per second, as an exponential moving average.
 	double rate{};
 };
 
-/// One play; see `play`.
-class shift_play
+/// One simulation run; see `play`.
+class shift_simulation
 {
   public:
-	explicit shift_play(const shift_setup& setup)
-		: setup_(setup), random_(seeded_random{setup.seed}), origin_(now_ + calm_before),
-		  burst_at_(drawn_time()), slowed_at_(drawn_time()), lost_at_(drawn_time()),
-		  slowdown_(draw(slowest_factor, fastest_factor))
+	explicit shift_simulation(const shift_setup& setup)
+		: setup_(setup), random_(seeded_random{setup.seed}), origin_(now_ + warm_up),
+		  burst_starts_at_(random_time()), slowdown_starts_at_(random_time()),
+		  registry_loss_starts_at_(random_time()),
+		  version_slowdown_(random_between(min_slowdown, max_slowdown))
 	{
 		make_engines(old_version, old_engines_);
 		make_engines(new_version, new_engines_);
-		for (unsigned i = 0; i < setup.vms; ++i)
+		for (unsigned index = 0; index < setup.vms; ++index)
 		{
-			start_vm(i);
+			start_vm(index);
 		}
 	}
 
 	shift_result run()
 	{
-		for (; now_ < origin_ + setup_.length; now_ += step)
+		for (; now_ < origin_ + setup_.length; now_ += time_step)
 		{
 			if (now_ == origin_)
 			{
-				give_order();
+				issue_order();
 			}
-			one_step();
+			run_step();
 		}
 		result_.exposure = static_cast<double>(new_requests_) / std::max(1.0, double(requests_));
 		result_.state = plan_ ? plan_->state : rollout::shift_state::running;
@@ -83,51 +85,52 @@
 	}
 
   private:
-	static constexpr double slowest_factor = 3;
-	static constexpr double fastest_factor = 8;
-	static constexpr duration trouble_time = seconds{7};
+	static constexpr double min_slowdown = 3;
+	static constexpr double max_slowdown = 8;
+	static constexpr duration disturbance_length = seconds{7};
 
-	double unit() { return random_unit(random_); }
-	double draw(double from, double to) { return from + (to - from) * unit(); }
-	duration drawn_time() { return scaled(setup_.length, unit()); }
+	double random_fraction() { return random_unit(random_); }
+	double random_between(double from, double to) { return from + (to - from) * random_fraction(); }
+	duration random_time() { return scaled(setup_.length, random_fraction()); }
 
-	[[nodiscard]] bool is_within(duration at) const
+	[[nodiscard]] bool is_within(duration start) const
 	{
-		return now_ - origin_ >= at && now_ - origin_ < at + trouble_time;
+		return now_ - origin_ >= start && now_ - origin_ < start + disturbance_length;
 	}
 
-	[[nodiscard]] bool is_bursting() const { return setup_.trouble.has_burst && is_within(burst_at_); }
+	[[nodiscard]] bool is_bursting() const { return setup_.trouble.has_burst && is_within(burst_starts_at_); }
 
 	[[nodiscard]] bool is_registry_lost() const
 	{
-		return setup_.trouble.loses_registry && is_within(lost_at_);
+		return setup_.trouble.loses_registry && is_within(registry_loss_starts_at_);
 	}
 
-	void make_engines(const char* version, std::vector<engine>& into)
+	void make_engines(const char* version, std::vector<engine>& engines)
 	{
 		constexpr double speeds[] = {1.0, 1.0, 1.3};
-		for (unsigned i = 0; i < setup_.replicas; ++i)
+		for (unsigned index = 0; index < setup_.replicas; ++index)
 		{
-			const auto made = std::make_shared<routing::replica>();
-			made->id = replica_id{to_hex(std::string{version} + std::to_string(setup_.seed * 1000 + i))};
-			made->service = service;
-			made->version = version;
-			auto& one = into.emplace_back();
-			one.replica = made;
-			one.speed = speeds[i % std::size(speeds)];
-			const bool is_spared = setup_.trouble.is_old_only && version == std::string_view{new_version};
-			one.is_slowed = unit() < setup_.trouble.slowed_share && !is_spared;
-			one.is_failing = unit() < setup_.trouble.failing_share && !is_spared;
+			const auto created = std::make_shared<routing::replica>();
+			created->id =
+				replica_id{to_hex(std::string{version} + std::to_string(setup_.seed * 1000 + index))};
+			created->service = service;
+			created->version = version;
+			auto& added = engines.emplace_back();
+			added.replica = created;
+			added.speed = speeds[index % std::size(speeds)];
+			const bool is_unaffected = setup_.trouble.is_old_only && version == std::string_view{new_version};
+			added.is_slowed = random_fraction() < setup_.trouble.slowed_share && !is_unaffected;
+			added.is_failing = random_fraction() < setup_.trouble.failing_share && !is_unaffected;
 		}
 	}
 
-	void start_vm(unsigned i)
+	void start_vm(unsigned index)
 	{
-		auto& made =
-			vms_.emplace_back(std::make_unique<version_shift>(seeded_random{mix_hash(setup_.seed, i)},
-				[this](const rollout::shift_news& news) { note(news); }));
-		made->note_reads_registry(is_reader(i));
-		made->note_replicas(service, replicas_of({&old_engines_}));
+		auto& created =
+			vms_.emplace_back(std::make_unique<version_shift>(seeded_random{mix_hash(setup_.seed, index)},
+				[this](const rollout::shift_news& news) { record_suspension(news); }));
+		created->note_reads_registry(is_reader(index));
+		created->note_replicas(service, replicas_of({&old_engines_}));
 	}
 
 	[[nodiscard]] static std::vector<routing::replica_ptr> replicas_of(
@@ -136,15 +139,15 @@
 		std::vector<routing::replica_ptr> all;
 		for (const auto* engines : versions)
 		{
-			for (const auto& one : *engines)
+			for (const auto& entry : *engines)
 			{
-				all.push_back(one.replica);
+				all.push_back(entry.replica);
 			}
 		}
 		return all;
 	}
 
-	void note(const rollout::shift_news& news)
+	void record_suspension(const rollout::shift_news& news)
 	{
 		if (news.suspended && !news.told && !result_.suspended)
 		{
@@ -153,7 +156,7 @@
 		}
 	}
 
-	void give_order()
+	void issue_order()
 	{
 		requests_ = 0;
 		for (auto& vm : vms_)
@@ -163,28 +166,28 @@
 		}
 	}
 
-	/// Trouble of the old version's replicas alone begins with the shift.
-	[[nodiscard]] bool is_old_in_trouble() const { return setup_.trouble.is_old_only && now_ >= origin_; }
+	/// Disturbances of the old version's replicas only begin with the shift.
+	[[nodiscard]] bool is_old_disturbed() const { return setup_.trouble.is_old_only && now_ >= origin_; }
 
 	[[nodiscard]] bool is_overloaded() const { return setup_.trouble.overload > 0 && now_ >= origin_; }
 
-	[[nodiscard]] static std::string name_of_vm(std::size_t i) { return "vm" + std::to_string(i); }
+	[[nodiscard]] static std::string name_of_vm(std::size_t index) { return "vm" + std::to_string(index); }
 
-	[[nodiscard]] bool is_reader(std::size_t i) const { return i < setup_.domains; }
-	[[nodiscard]] std::size_t reader_of(std::size_t i) const { return i % setup_.domains; }
+	[[nodiscard]] bool is_reader(std::size_t index) const { return index < setup_.domains; }
+	[[nodiscard]] std::size_t reader_of(std::size_t index) const { return index % setup_.domains; }
 
-	void one_step()
+	void run_step()
 	{
-		hear_registry();
+		deliver_registry_updates();
 		send_requests();
-		if ((now_ - origin_) % report_pause < step)
+		if ((now_ - origin_) % report_interval < time_step)
 		{
 			exchange_reports();
 		}
-		write_due();
+		execute_due_writes();
 	}
 
-	void hear_registry()
+	void deliver_registry_updates()
 	{
 		if (is_registry_lost())
 		{
@@ -192,23 +195,23 @@
 		}
 		for (auto& vm : vms_)
 		{
-			vm->note_registry_time(now_.time_since_epoch() + registry_ahead, now_);
+			vm->note_registry_time(now_.time_since_epoch() + registry_clock_offset, now_);
 			if (plan_)
 			{
 				vm->on_plan(*plan_, now_);
 			}
 		}
-		for (const auto& [at, row] : rows_)
+		for (const auto& [visible_at, row] : written_rows_)
 		{
-			if (at > now_ || at + step <= now_)
+			if (visible_at > now_ || visible_at + time_step <= now_)
 			{
 				continue;
 			}
-			for (std::size_t i = 0; i < setup_.domains; ++i)
+			for (std::size_t index = 0; index < setup_.domains; ++index)
 			{
-				if (row.reporter != name_of_vm(i))
+				if (row.reporter != name_of_vm(index))
 				{
-					vms_[i]->on_evidence(row.reporter, row.evidence, now_);
+					vms_[index]->on_evidence(row.reporter, row.evidence, now_);
 				}
 			}
 		}
@@ -216,24 +219,25 @@
 
 	void send_requests()
 	{
-		const auto seconds_in_step = to_milliseconds(step) / 1000;
-		const auto wanted = setup_.answers_per_s * seconds_in_step * (is_bursting() ? 2 : 1) + carried_;
-		const auto count = static_cast<unsigned>(wanted);
-		carried_ = wanted - count;
+		const auto seconds_in_step = to_milliseconds(time_step) / 1000;
+		const auto expected_requests =
+			setup_.answers_per_s * seconds_in_step * (is_bursting() ? 2 : 1) + fractional_requests_;
+		const auto count = static_cast<unsigned>(expected_requests);
+		fractional_requests_ = expected_requests - count;
 		for (auto* engines : {&old_engines_, &new_engines_})
 		{
-			for (auto& one : *engines)
+			for (auto& entry : *engines)
 			{
-				one.rate *= 1 - seconds_in_step;
+				entry.rate *= 1 - seconds_in_step;
 			}
 		}
-		for (unsigned i = 0; i < count; ++i)
+		for (unsigned index = 0; index < count; ++index)
 		{
-			send_one();
+			send_request();
 		}
 	}
 
-	void send_one()
+	void send_request()
 	{
 		const auto vm_index = random_below(random_, vms_.size());
 		auto& vm = *vms_[vm_index];
@@ -241,198 +245,202 @@
 		const bool is_new = version == new_version;
 		++requests_;
 		new_requests_ += is_new ? 1 : 0;
-		const bool is_late = is_new && result_.bad_answers >= bad_before_verdict &&
-							 now_ - bad_since_ > verdict_limit && setup_.fault != version_fault::none;
-		result_.late_requests += is_late ? 1 : 0;
-		auto* at = pick_engine(vm, is_new ? new_engines_ : old_engines_);
-		if (at != nullptr)
+		const bool is_past_time_limit = is_new && result_.bad_answers >= bad_responses_before_verdict &&
+										now_ - last_below_limit_ > verdict_time_limit &&
+										setup_.fault != version_fault::none;
+		result_.late_requests += is_past_time_limit ? 1 : 0;
+		auto* target = select_engine(vm, is_new ? new_engines_ : old_engines_);
+		if (target != nullptr)
 		{
-			answer(vm, *at, is_new);
+			simulate_response(vm, *target, is_new);
 		}
 	}
 
-	engine* pick_engine(const version_shift& vm, std::vector<engine>& from)
+	engine* select_engine(const version_shift& vm, std::vector<engine>& engines)
 	{
 		engine* best = nullptr;
-		constexpr int draws = 40;
-		constexpr int compared = 2;
-		int found = 0;
-		for (int i = 0; i < draws && found < compared; ++i)
+		constexpr int max_samples = 40;
+		constexpr int max_candidates = 2;
+		int candidates = 0;
+		for (int index = 0; index < max_samples && candidates < max_candidates; ++index)
 		{
-			auto& one = from[random_below(random_, from.size())];
-			if (!vm.is_in_use(*one.replica, now_))
+			auto& candidate = engines[random_below(random_, engines.size())];
+			if (!vm.is_in_use(*candidate.replica, now_))
 			{
 				continue;
 			}
-			++found;
-			if (best == nullptr || one.rate < best->rate)
+			++candidates;
+			if (best == nullptr || candidate.rate < best->rate)
 			{
-				best = &one;
+				best = &candidate;
 			}
 		}
 		return best;
 	}
 
-	/// Load of an engine: 1 is what each bears on an ordinary day.
-	[[nodiscard]] double load_of(const engine& at) const
+	/// Load of an engine relative to the usual load per engine.
+	[[nodiscard]] double load_of(const engine& target) const
 	{
-		return at.rate / (setup_.answers_per_s / setup_.replicas);
+		return target.rate / (setup_.answers_per_s / setup_.replicas);
 	}
 
-	void answer(version_shift& vm, engine& at, bool is_new)
+	void simulate_response(version_shift& vm, engine& target, bool is_new)
 	{
-		at.rate += 1;
+		target.rate += 1;
 		rollout::answer_sample sample;
 		constexpr unsigned routes = 3;
 		const auto route = random_below(random_, routes);
 		sample.route = "r" + std::to_string(route);
-		constexpr double large_share = 0.3;
-		const bool is_large = unit() < large_share;
+		constexpr double large_model_ratio = 0.3;
+		const bool is_large = random_fraction() < large_model_ratio;
 		sample.model = is_large ? "large" : "small";
-		sample.replica = stable_hash(at.replica->id.str());
-		sample.relative_time = time_at(at, is_new);
-		sample.failed = unit() < failure_share(at, is_new, route == 0);
+		sample.replica = stable_hash(target.replica->id.str());
+		sample.relative_time = latency_at(target, is_new);
+		sample.failed = random_fraction() < failure_ratio(target, is_new, route == 0);
 		const bool slow_version = is_new && setup_.fault == version_fault::slow;
 		if (is_new && (sample.failed || slow_version))
 		{
-			bad_since_ = result_.bad_answers < bad_before_verdict ? now_ : bad_since_;
+			last_below_limit_ = result_.bad_answers < bad_responses_before_verdict ? now_ : last_below_limit_;
 			++result_.bad_answers;
 		}
 		const auto version = is_new ? new_version : old_version;
 		vm.note_answer(service, version, sample, now_);
-		constexpr double streams = 0.6;
-		if (!sample.failed && unit() < streams)
+		constexpr double stream_ratio = 0.6;
+		if (!sample.failed && random_fraction() < stream_ratio)
 		{
 			sample.kind = rollout::sample_kind::pace;
-			sample.relative_time = pace_at(at, is_new);
+			sample.relative_time = event_interval_at(target, is_new);
 			vm.note_answer(service, version, sample, now_);
 		}
 	}
 
-	/// Time to the first byte over an idle engine's: a kept prompt is read faster, a busy engine lets some
-	/// wait long.
-	double time_at(const engine& at, bool is_new)
+	/// Time to first byte relative to an idle engine's: cached prompts are processed faster, and at a busy
+	/// engine some requests wait in the queue.
+	double latency_at(const engine& target, bool is_new)
 	{
-		constexpr double warm = 0.4;
-		constexpr double cold = 0.9;
-		const bool is_warm_enough = is_new ? unit() < 0.3 : unit() < 0.7;
-		const auto reading = at.speed * (is_warm_enough ? draw(warm, 0.6) : draw(0.6, cold));
-		return slowness_of(at, is_new) * reading * (1 + queue_at(at, is_new));
+		constexpr double min_cached_cost = 0.4;
+		constexpr double max_uncached_cost = 0.9;
+		const bool is_cached = is_new ? random_fraction() < 0.3 : random_fraction() < 0.7;
+		const auto processing = target.speed * (is_cached ? random_between(min_cached_cost, 0.6)
+														  : random_between(0.6, max_uncached_cost));
+		return slowdown_of(target, is_new) * processing * (1 + queue_length(target, is_new));
 	}
 
-	/// Time between two events over an idle engine's: longer by the requests of its batch, and at times by a
-	/// prompt that is read between them.
-	double pace_at(const engine& at, bool is_new)
+	/// Event interval relative to an idle engine's: it grows with the batch size, and at times with a prompt
+	/// that is processed in between.
+	double event_interval_at(const engine& target, bool is_new)
 	{
-		constexpr double whole_batch = 1.5;
-		constexpr double overloaded_batch = 3;
-		constexpr double reads_prompt = 0.3;
-		const auto queued = !is_new && is_overloaded() ? overloaded_batch : 0;
-		const auto batch = 1 + queued + std::min(whole_batch, load_of(at) * unit());
-		const auto prompt = unit() < reads_prompt ? draw(1, 3) : 1;
-		return slowness_of(at, is_new) * at.speed * batch * prompt;
+		constexpr double max_batch_growth = 1.5;
+		constexpr double overload_batch_growth = 3;
+		constexpr double prompt_probability = 0.3;
+		const auto overload_growth = !is_new && is_overloaded() ? overload_batch_growth : 0;
+		const auto batch =
+			1 + overload_growth + std::min(max_batch_growth, load_of(target) * random_fraction());
+		const auto prompt = random_fraction() < prompt_probability ? random_between(1, 3) : 1;
+		return slowdown_of(target, is_new) * target.speed * batch * prompt;
 	}
 
-	/// Prompts that wait before one, in times of its own.
-	double queue_at(const engine& at, bool is_new)
+	/// Number of prompts queued before a request, in units of the processing time of its own prompt.
+	double queue_length(const engine& target, bool is_new)
 	{
 		double queue = 0;
-		const auto busy = std::min(0.9, 0.4 * load_of(at));
-		if (unit() < busy)
+		const auto queue_probability = std::min(0.9, 0.4 * load_of(target));
+		if (random_fraction() < queue_probability)
 		{
-			queue -= 3 * load_of(at) * std::log(1 - unit());
+			queue -= 3 * load_of(target) * std::log(1 - random_fraction());
 		}
 		if (!is_new && is_overloaded())
 		{
-			queue -= setup_.trouble.overload * std::log(1 - unit());
+			queue -= setup_.trouble.overload * std::log(1 - random_fraction());
 		}
 		return queue;
 	}
 
-	[[nodiscard]] double slowness_of(const engine& at, bool is_new) const
+	[[nodiscard]] double slowdown_of(const engine& target, bool is_new) const
 	{
-		const bool is_slowed = at.is_slowed && (is_old_in_trouble() || is_within(slowed_at_));
-		const auto own = is_slowed ? setup_.trouble.slowed_by : 1;
-		return is_new && setup_.fault == version_fault::slow ? own * slowdown_ : own;
+		const bool is_slowed = target.is_slowed && (is_old_disturbed() || is_within(slowdown_starts_at_));
+		const auto replica_slowdown = is_slowed ? setup_.trouble.slowed_by : 1;
+		return is_new && setup_.fault == version_fault::slow ? replica_slowdown * version_slowdown_
+															 : replica_slowdown;
 	}
 
-	double failure_share(const engine& at, bool is_new, bool is_first_route) const
+	double failure_ratio(const engine& target, bool is_new, bool is_first_route) const
 	{
-		constexpr double of_bad_version = 0.5;
-		const bool is_failing = at.is_failing && (now_ >= origin_ || !setup_.trouble.is_old_only);
-		const auto own = is_failing ? setup_.trouble.failing_rate : 0;
+		constexpr double bad_version_ratio = 0.5;
+		const bool is_failing = target.is_failing && (now_ >= origin_ || !setup_.trouble.is_old_only);
+		const auto replica_ratio = is_failing ? setup_.trouble.failing_rate : 0;
 		if (!is_new)
 		{
-			return own;
+			return replica_ratio;
 		}
 		switch (setup_.fault)
 		{
 		case version_fault::fails:
-			return of_bad_version;
+			return bad_version_ratio;
 		case version_fault::fails_under_load:
 		{
-			// Few at the usual load, more the higher it is.
-			constexpr double begins_at = 0.9;
-			constexpr double whole_at = 2.5;
-			const auto part = (load_of(at) - begins_at) / (whole_at - begins_at);
-			return std::max(own, of_bad_version * std::clamp(part, 0.0, 1.0));
+			// The failure ratio grows linearly with the load.
+			constexpr double starts_at_load = 0.9;
+			constexpr double full_at_load = 2.5;
+			const auto load_fraction = (load_of(target) - starts_at_load) / (full_at_load - starts_at_load);
+			return std::max(replica_ratio, bad_version_ratio * std::clamp(load_fraction, 0.0, 1.0));
 		}
 		case version_fault::fails_on_one_route:
-			return is_first_route ? of_bad_version : own;
+			return is_first_route ? bad_version_ratio : replica_ratio;
 		case version_fault::fails_late:
 		{
-			constexpr double late_at = 0.7;
-			return now_ - origin_ > scaled(setup_.length, late_at) ? of_bad_version : own;
+			constexpr double late_fraction = 0.7;
+			return now_ - origin_ > scaled(setup_.length, late_fraction) ? bad_version_ratio : replica_ratio;
 		}
 		case version_fault::none:
 		case version_fault::slow:
-			return own;
+			return replica_ratio;
 		}
-		return own;
+		return replica_ratio;
 	}
 
 	void exchange_reports()
 	{
-		for (std::size_t i = setup_.domains; i < vms_.size(); ++i)
+		for (std::size_t index = setup_.domains; index < vms_.size(); ++index)
 		{
-			auto& reader = *vms_[reader_of(i)];
-			for (const auto& one : vms_[i]->own_evidence())
+			auto& reader = *vms_[reader_of(index)];
+			for (const auto& evidence : vms_[index]->own_evidence())
 			{
-				reader.on_relayed_evidence(name_of_vm(i), one, now_);
+				reader.on_relayed_evidence(name_of_vm(index), evidence, now_);
 			}
-			for (const auto& one : vms_[i]->suspensions())
+			for (const auto& suspension : vms_[index]->suspensions())
 			{
-				reader.on_suspension(one, now_);
+				reader.on_suspension(suspension, now_);
 			}
-			for (const auto& one : reader.suspensions())
+			for (const auto& suspension : reader.suspensions())
 			{
-				vms_[i]->on_suspension(one, now_);
+				vms_[index]->on_suspension(suspension, now_);
 			}
 		}
 	}
 
-	void write_due()
+	void execute_due_writes()
 	{
-		for (std::size_t i = 0; i < vms_.size(); ++i)
+		for (std::size_t index = 0; index < vms_.size(); ++index)
 		{
-			for (const auto& write : vms_[i]->due(now_))
+			for (const auto& write : vms_[index]->due(now_))
 			{
 				if (is_registry_lost())
 				{
 					continue;
 				}
-				for (auto one : write.evidence)
+				for (auto reported : write.evidence)
 				{
-					one.reporter = one.reporter.empty() ? name_of_vm(i) : one.reporter;
-					rows_.emplace_back(now_ + row_delay, std::move(one));
+					reported.reporter = reported.reporter.empty() ? name_of_vm(index) : reported.reporter;
+					written_rows_.emplace_back(now_ + row_propagation_delay, std::move(reported));
 				}
-				take_plan(write.plan);
+				store_plan(write.plan);
 			}
 		}
 	}
 
-	/// A write under the condition that the row is the one that its writer knew.
-	void take_plan(const std::optional<rollout::shift_plan>& written)
+	/// Compare-and-set on the plan's row.
+	void store_plan(const std::optional<rollout::shift_plan>& written)
 	{
 		const auto row = plan_ ? plan_->row : rollout::row_version{0};
 		if (!written || written->row != row)
@@ -447,19 +455,19 @@
 	random_source random_;
 	instant now_{seconds{1000}};
 	instant origin_;
-	duration burst_at_;
-	duration slowed_at_;
-	duration lost_at_;
-	double slowdown_;
-	double carried_ = 0;
+	duration burst_starts_at_;
+	duration slowdown_starts_at_;
+	duration registry_loss_starts_at_;
+	double version_slowdown_;
+	double fractional_requests_ = 0;
 	std::vector<engine> old_engines_;
 	std::vector<engine> new_engines_;
 	std::vector<std::unique_ptr<version_shift>> vms_;
 	std::optional<rollout::shift_plan> plan_;
-	std::vector<std::pair<instant, rollout::reported_evidence>> rows_;
+	std::vector<std::pair<instant, rollout::reported_evidence>> written_rows_;
 	std::uint64_t requests_ = 0;
 	std::uint64_t new_requests_ = 0;
-	instant bad_since_;
+	instant last_below_limit_;
 	shift_result result_;
 };
 } // namespace
@@ -486,6 +494,6 @@
 
 shift_result play(const shift_setup& setup)
 {
-	return shift_play{setup}.run();
+	return shift_simulation{setup}.run();
 }
 } // namespace gingerdyke::emulator
--- a/emulator/shift_emulator.hpp
+++ b/emulator/shift_emulator.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Plays a shift of versions in virtual time over many VMs, with the decisions of the product.
+// Simulates a shift between versions over many VMs in virtual time, using the production decision code.
 #pragma once
 
 #include <cstdint>
@@ -9,51 +9,52 @@
 
 namespace gingerdyke::emulator
 {
-/// \brief In which way a new version is bad.
+/// \brief Fault of the new version.
 enum class version_fault
 {
 	none,
-	/// Half of its answers are failures.
+	/// Half of its responses are failures.
 	fails,
-	/// All its answers take three times as long or longer.
+	/// All its responses take at least three times as long.
 	slow,
-	/// Half of its answers are failures at replicas that bear more than their usual load.
+	/// Up to half of the responses are failures at replicas that carry more than their usual load.
 	fails_under_load,
-	/// Half of its answers are failures on one of the routes.
+	/// Half of its responses on one of the routes are failures.
 	fails_on_one_route,
-	/// Half of its answers are failures from the middle of the trial on.
+	/// Half of its responses are failures from a late point of the shift on (70 % of its length).
 	fails_late,
 };
 
-/// \brief The word for a fault.
+/// \brief Name of a fault.
 [[nodiscard]] const char* name_of(version_fault fault) noexcept;
 
-/// \brief What else happens during a shift, to both versions alike.
+/// \brief Disturbances during a shift that are not caused by the new version; they affect both versions
+/// unless stated otherwise.
 struct shift_trouble
 {
-	/// Traffic is twice as high for some seconds, at a moment drawn from the shift's time.
+	/// Traffic doubles for some seconds, at a random time during the shift.
 	bool has_burst{};
 
-	/// Share of the replicas that are slower, and by how much: for some seconds, or throughout.
+	/// Share of the replicas that are slow, and their slowdown factor: for some seconds, or for the whole
+	/// shift if `is_old_only`.
 	double slowed_share{};
 	double slowed_by{5};
 
-	/// Share of the replicas that fail, and which part of their answers.
+	/// Share of the replicas that fail, and their failure ratio.
 	double failing_share{};
 	double failing_rate{0.4};
 
-	/// The trouble lasts for the whole shift, and strikes replicas that were there when it began: none of the
-	/// new version's.
+	/// The disturbance lasts for the whole shift and affects only replicas of the old version.
 	bool is_old_only{};
 
-	/// Requests that wait before each one at the old version's replicas, on average: overload.
+	/// Mean number of requests queued before each one at the old version's replicas: overload.
 	double overload{};
 
-	/// Readers lose the registry for some seconds.
+	/// VMs lose the registry for some seconds.
 	bool loses_registry{};
 };
 
-/// \brief A deployment that moves to a new version.
+/// \brief The deployment and the shift to simulate.
 struct shift_setup
 {
 	unsigned vms{7};
@@ -62,7 +63,7 @@
 	/// Replicas of each version.
 	unsigned replicas{18};
 
-	/// Answers a second, of all VMs together.
+	/// Responses per second, over all VMs.
 	double answers_per_s{120};
 	duration length = std::chrono::seconds{24};
 	version_fault fault{version_fault::none};
@@ -70,24 +71,25 @@
 	std::uint64_t seed{1};
 };
 
-/// \brief What came of a shift.
+/// \brief Result of a simulated shift.
 struct shift_result
 {
 	rollout::shift_state state{rollout::shift_state::running};
 
-	/// What the first VM that suspended the new version knew, and how long after the order; none: no VM did.
+	/// The evidence of the first VM that suspended the new version, and the time of the suspension after the
+	/// order; none: no VM suspended it.
 	std::optional<rollout::shift_summary> suspended;
 	duration suspended_after{};
 
-	/// Part of all requests in the shift's time that went to the new version.
+	/// Fraction of all requests during the shift that went to the new version.
 	double exposure{};
 
-	/// Bad answers, and requests that the new version got later than a time after the first of them that a
-	/// verdict could rest on (see `shift_emulator.cpp`).
+	/// Bad responses of the new version, and requests sent to it after the time limit for a verdict, which
+	/// starts once it has given enough bad responses (see `shift_emulator.cpp`).
 	std::uint64_t bad_answers{};
 	std::uint64_t late_requests{};
 };
 
-/// \brief Plays one shift from the order to the end of its time.
+/// \brief Simulates one shift from the order to the end of its length.
 [[nodiscard]] shift_result play(const shift_setup& setup);
 } // namespace gingerdyke::emulator
--- a/tests/emulator/shift.cpp
+++ b/tests/emulator/shift.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Shifts of bad and good versions under load and trouble, many VMs together, in virtual time.
+// Simulated shifts of bad and good versions with disturbances, over many VMs in virtual time.
 #include "shift_emulator.hpp"
 #include <catch2/catch.hpp>
 
@@ -9,8 +9,7 @@
 
 namespace
 {
-/// Part of all requests that users allow a bad version, and what a few requests more are of the small
-/// deployment's.
+/// Fraction of all requests that users allow a bad version to get.
 constexpr double exposure_limit = 0.15;
 
 shift_setup small_deployment()
@@ -61,7 +60,8 @@
 	each_play(deployment, seeds,
 		[](const shift_setup& setup, const shift_result& result)
 		{
-			// With the registry away the verdict can't be written; nothing goes to the version all the same.
+			// Without the registry the verdict can't be written, but the VMs still stop sending requests to
+			// the version.
 			CHECK((result.state == shift_state::rolled_back ||
 				   (setup.trouble.loses_registry && result.state == shift_state::running)));
 			CHECK(result.late_requests == 0);
@@ -88,7 +88,7 @@
 	check_bad(large_deployment(), version_fault::fails_late, seeds);
 }
 
-TEST_CASE("a version that fails is not completed on the few answers of thin traffic", "[emulator][shift]")
+TEST_CASE("a version that fails is not completed on the few responses of thin traffic", "[emulator][shift]")
 {
 	auto setup = small_deployment();
 	setup.vms = 6;
@@ -104,28 +104,29 @@
 			CHECK(result.late_requests == 0);
 			CHECK(result.exposure < exposure_limit);
 		});
-	// Of 200 draws one, where by chance the old version's replicas fail almost as often.
+	// One of the 200 simulated shifts, in which the old version's replicas fail almost as often by chance.
 	CHECK(completed <= 1);
 }
 
-TEST_CASE("a version that fails under load only is found in its trial where there are many replicas",
+TEST_CASE("a version that fails only under load is detected in its trial if there are many replicas",
 	"[emulator][shift]")
 {
 	auto setup = large_deployment();
 	setup.fault = version_fault::fails_under_load;
-	unsigned found = 0;
+	unsigned detected = 0;
 	constexpr unsigned seeds = 10;
 	for (setup.seed = 1; setup.seed <= seeds; ++setup.seed)
 	{
 		const auto result = play(setup);
-		found += result.state == shift_state::rolled_back ? 1 : 0;
+		detected += result.state == shift_state::rolled_back ? 1 : 0;
 		CHECK(result.exposure < exposure_limit);
 	}
-	// Four in ten drawn shifts: what hides until the whole load is there is bounded by the schedule.
-	CHECK(found >= seeds * 4 / 10);
+	// At least 40 % of the simulated shifts: a fault that shows only under full load can't always be detected
+	// in the trial; the schedule limits its exposure.
+	CHECK(detected >= seeds * 4 / 10);
 }
 
-TEST_CASE("a version that hides that it is bad gets no more than the exposure limit", "[emulator][shift]")
+TEST_CASE("a bad version that is not detected gets no more than the exposure limit", "[emulator][shift]")
 {
 	auto setup = small_deployment();
 	setup.fault = version_fault::fails_under_load;
@@ -135,7 +136,7 @@
 	}
 }
 
-TEST_CASE("a good version is completed under the same trouble", "[emulator][shift]")
+TEST_CASE("a good version is completed under the same disturbances", "[emulator][shift]")
 {
 	constexpr unsigned seeds_of_small = 10;
 	constexpr unsigned seeds_of_large = 3;
@@ -147,6 +148,7 @@
 	};
 	each_play(small_deployment(), seeds_of_small, count);
 	each_play(large_deployment(), seeds_of_large, count);
-	// One in a hundred is tolerated where replicas fail by themselves; these 65 draws have none.
+	// One false positive in a hundred is tolerated with failing replicas; these 65 simulated shifts have
+	// none.
 	CHECK(rolled_back == 0);
 }
--- a/tests/emulator/shift_with_faulty_replicas.cpp
+++ b/tests/emulator/shift_with_faulty_replicas.cpp
@@ -1,10 +1,9 @@
 // SPDX-License-Identifier: MIT
-// A version that failed four in ten requests was declared completed, and all traffic went to it. Half of the
-// old version's replicas failed half of their requests at the time, so that the old version looked almost as
-// bad: 3,340 of its 10,332 known answers had failed, 248 of the new one's 592, and 58 in 100 were tolerated.
-// Beside engines that were six times slower and overloaded, a slow version was completed as well: 192 of its
-// answers were known, none compared in time told anything, and that counted as good. The log said
-// "version shift", state "completed", with evidence 0.0.
+// Guards against completing a bad version while the old version's replicas are faulty too. Half of the old
+// version's replicas failed half of their requests, so 3,340 of its 10,332 known responses had failed, and
+// the tolerated ratio for the new version rose to 58 %; it was completed with 248 failures in 592 responses.
+// With the old version's engines six times slower and overloaded, a slow version was completed too: none of
+// its 192 known responses was conclusive in the latency comparison, and an evidence of 0.0 counted as good.
 #include "shift_emulator.hpp"
 #include <catch2/catch.hpp>
 
@@ -23,8 +22,8 @@
 	return setup;
 }
 
-/// \param fault How the new version is bad.
-/// \param trouble What strikes the old version's replicas meanwhile.
+/// \param fault Fault of the new version.
+/// \param trouble Disturbance of the old version's replicas.
 void check_never_completed(version_fault fault, const shift_trouble& trouble)
 {
 	auto setup = middle_deployment();
@@ -55,11 +54,10 @@
 		version_fault::slow, {.slowed_share = 0.5, .slowed_by = 6, .is_old_only = true, .overload = 8});
 }
 
-// With 7 VMs and 18 replicas a trial's twelve replicas bear a tenth of what the others do: slow ones among
-// them kept a pace of 50 ms where the old version's, overloaded, needed 70 to 300 ms; an idle one needs 15
-// ms.
-TEST_CASE("a slow version is not taken for a fast one where only the old one bears an overload",
-	"[emulator][shift]")
+// With 7 VMs and 18 replicas, the twelve replicas of a trial carry a tenth of the others' load: slow ones
+// among them had event intervals of 50 ms, while those of the overloaded old version were 70 to 300 ms; an
+// idle engine has 15 ms.
+TEST_CASE("a slow version is not taken for a fast one if only the old one is overloaded", "[emulator][shift]")
 {
 	shift_setup setup;
 	setup.fault = version_fault::slow;
@@ -73,10 +71,11 @@
 	}
 }
 
-// Where all routes together were the measure, a version that failed half of the requests on one of three
-// routes, or in the last part of the trial only, was completed beside old replicas that failed: in each of
-// four draws with 91 VMs, and with 7 VMs in 7 and 22 of 40.
-TEST_CASE("a version that is bad on one route or late is not completed beside failing old replicas",
+// Guards against evaluating failures only over all routes together. A version that failed half of its
+// requests on one of three routes, or only in the last part of the trial, was then completed if replicas of
+// the old version failed too: in all four simulated shifts with 91 VMs, and in 7 (one route) and 22 (late) of
+// 40 with 7 VMs.
+TEST_CASE("a version that is bad on one route or late is not completed while old replicas fail",
 	"[emulator][shift]")
 {
 	const shift_trouble failing{.failing_share = 0.5, .failing_rate = 0.5, .is_old_only = true};
@@ -95,7 +94,7 @@
 	}
 }
 
-TEST_CASE("with few answers such a version is seldom completed, and gets no more than the exposure limit",
+TEST_CASE("with few responses such a version is seldom completed, and gets no more than the exposure limit",
 	"[emulator][shift]")
 {
 	const shift_trouble failing{.failing_share = 0.5, .failing_rate = 0.5, .is_old_only = true};
@@ -116,13 +115,13 @@
 			CHECK(result.exposure < exposure_limit);
 		}
 		CAPTURE(name_of(fault));
-		// One in five at most: a trial of 7 VMs has some 20 answers on a route.
+		// At most one in five: a trial of 7 VMs has about 20 responses per route.
 		CHECK(completed <= seeds / 5);
 	}
 }
 
-TEST_CASE("a good version is completed although the old replicas fail, are slowed or overloaded",
-	"[emulator][shift]")
+TEST_CASE(
+	"a good version is completed although the old replicas fail, are slow or overloaded", "[emulator][shift]")
 {
 	const shift_trouble failing{.failing_share = 0.5, .failing_rate = 0.5, .is_old_only = true};
 	const shift_trouble slowed{.slowed_share = 0.5, .slowed_by = 6, .is_old_only = true, .overload = 8};
