--- a/bench/experiment_bad_versions.cpp
+++ b/bench/experiment_bad_versions.cpp
@@ -102,7 +102,7 @@
 		{
 			return 0;
 		}
-		part.gate->note_answer(*table_.version(trial_version), random_unit(random_) < failure_rate);
+		part.gate->record_response(*table_.version(trial_version), random_unit(random_) < failure_rate);
 		return 1;
 	}
 
--- a/bench/experiment_shifts.cpp
+++ b/bench/experiment_shifts.cpp
@@ -36,13 +36,13 @@
 	shift_setup setup;
 };
 
-shift_setup setup_of(unsigned vms, unsigned domains, unsigned replicas, double answers_per_s)
+shift_setup setup_of(unsigned vms, unsigned domains, unsigned replicas, double responses_per_s)
 {
 	shift_setup setup;
 	setup.vms = vms;
 	setup.domains = domains;
 	setup.replicas = replicas;
-	setup.answers_per_s = answers_per_s;
+	setup.responses_per_s = responses_per_s;
 	return setup;
 }
 
--- a/emulator/shift_emulator.cpp
+++ b/emulator/shift_emulator.cpp
@@ -221,7 +221,7 @@
 	{
 		const auto seconds_in_step = to_milliseconds(time_step) / 1000;
 		const auto expected_requests =
-			setup_.answers_per_s * seconds_in_step * (is_bursting() ? 2 : 1) + fractional_requests_;
+			setup_.responses_per_s * seconds_in_step * (is_bursting() ? 2 : 1) + fractional_requests_;
 		const auto count = static_cast<unsigned>(expected_requests);
 		fractional_requests_ = expected_requests - count;
 		for (auto* engines : {&old_engines_, &new_engines_})
@@ -245,7 +245,7 @@
 		const bool is_new = version == new_version;
 		++requests_;
 		new_requests_ += is_new ? 1 : 0;
-		const bool is_past_time_limit = is_new && result_.bad_answers >= bad_responses_before_verdict &&
+		const bool is_past_time_limit = is_new && result_.bad_responses >= bad_responses_before_verdict &&
 										now_ - last_below_limit_ > verdict_time_limit &&
 										setup_.fault != version_fault::none;
 		result_.late_requests += is_past_time_limit ? 1 : 0;
@@ -281,13 +281,13 @@
 	/// Load of an engine relative to the usual load per engine.
 	[[nodiscard]] double load_of(const engine& target) const
 	{
-		return target.rate / (setup_.answers_per_s / setup_.replicas);
+		return target.rate / (setup_.responses_per_s / setup_.replicas);
 	}
 
 	void simulate_response(version_shift& vm, engine& target, bool is_new)
 	{
 		target.rate += 1;
-		rollout::answer_sample sample;
+		rollout::response_sample sample;
 		constexpr unsigned routes = 3;
 		const auto route = random_below(random_, routes);
 		sample.route = "r" + std::to_string(route);
@@ -300,17 +300,18 @@
 		const bool slow_version = is_new && setup_.fault == version_fault::slow;
 		if (is_new && (sample.failed || slow_version))
 		{
-			last_below_limit_ = result_.bad_answers < bad_responses_before_verdict ? now_ : last_below_limit_;
-			++result_.bad_answers;
+			last_below_limit_ =
+				result_.bad_responses < bad_responses_before_verdict ? now_ : last_below_limit_;
+			++result_.bad_responses;
 		}
 		const auto version = is_new ? new_version : old_version;
-		vm.note_answer(service, version, sample, now_);
+		vm.record_response(service, version, sample, now_);
 		constexpr double stream_ratio = 0.6;
 		if (!sample.failed && random_fraction() < stream_ratio)
 		{
 			sample.kind = rollout::sample_kind::pace;
 			sample.relative_time = event_interval_at(target, is_new);
-			vm.note_answer(service, version, sample, now_);
+			vm.record_response(service, version, sample, now_);
 		}
 	}
 
--- a/emulator/shift_emulator.hpp
+++ b/emulator/shift_emulator.hpp
@@ -64,7 +64,7 @@
 	unsigned replicas{18};
 
 	/// Responses per second, over all VMs.
-	double answers_per_s{120};
+	double responses_per_s{120};
 	duration length = std::chrono::seconds{24};
 	version_fault fault{version_fault::none};
 	shift_trouble trouble;
@@ -86,7 +86,7 @@
 
 	/// Bad responses of the new version, and requests sent to it after the time limit for a verdict, which
 	/// starts once it has given enough bad responses (see `shift_emulator.cpp`).
-	std::uint64_t bad_answers{};
+	std::uint64_t bad_responses{};
 	std::uint64_t late_requests{};
 };
 
--- a/include/gingerdyke/proxy/exchange.hpp
+++ b/include/gingerdyke/proxy/exchange.hpp
@@ -116,7 +116,7 @@
 	void on_fault(upstream_fault fault);
 	void on_not_connected(upstream_fault fault);
 	void take_back_attempt();
-	[[nodiscard]] rollout::answer_sample sample_of(duration took) const;
+	[[nodiscard]] rollout::response_sample sample_of(duration took) const;
 	[[nodiscard]] bool is_foreign(const answer_head& head) const;
 	void note_first_token();
 	[[nodiscard]] bool wants_larger_model(const answer_head& head);
--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -186,7 +186,7 @@
 	void on_evidence(std::function<void()> hook) { evidence_hook_ = std::move(hook); }
 
 	/// \brief Notes a replica's answer for the shift of its service's version.
-	void note_answer(const routing::replica& from, const rollout::answer_sample& answer);
+	void note_answer(const routing::replica& from, const rollout::response_sample& answer);
 
 	/// \brief Notes a replica's word that it leaves.
 	/// \param request Id of the request whose answer said so, for the log.
--- a/include/gingerdyke/rollout/answer_cells.hpp
+++ b/include/gingerdyke/rollout/answer_cells.hpp
@@ -10,14 +10,14 @@
 namespace gingerdyke::rollout
 {
 /// \brief Number of responses, and how many of them were bad: failed, or slow when latency is counted.
-struct answer_counts
+struct response_counts
 {
-	std::uint64_t answers{};
+	std::uint64_t responses{};
 	std::uint64_t failed{};
 
-	answer_counts& operator+=(const answer_counts& other) noexcept;
-	answer_counts& operator-=(const answer_counts& other) noexcept;
-	bool operator==(const answer_counts&) const = default;
+	response_counts& operator+=(const response_counts& other) noexcept;
+	response_counts& operator-=(const response_counts& other) noexcept;
+	bool operator==(const response_counts&) const = default;
 
 	/// \brief Ratio of bad responses to all responses; 0 if there are none.
 	[[nodiscard]] double bad_ratio() const noexcept;
@@ -107,5 +107,5 @@
 
 /// \brief Selects the cells of the groups with the lowest ratio of bad responses, covering about half of all
 /// responses. The cells of each fold are selected by the ratios in the other fold.
-[[nodiscard]] cell_set healthy_cells(const by_cell<answer_counts>& seen);
+[[nodiscard]] cell_set healthy_cells(const by_cell<response_counts>& seen);
 } // namespace gingerdyke::rollout
--- a/include/gingerdyke/rollout/sequential_test.hpp
+++ b/include/gingerdyke/rollout/sequential_test.hpp
@@ -13,10 +13,10 @@
 /// The score is the mean, over a grid of higher rates, of the likelihood ratio against the tolerated rate.
 /// While the hypothesis holds, the expected score is at most 1 at any stopping time, so the probability that
 /// it ever exceeds 1/a is at most a, however often it is evaluated (Ville's inequality).
-/// \param answers Number of responses.
+/// \param responses Number of responses.
 /// \param failures Number of those responses that failed.
 /// \param tolerated Tolerated failure rate, greater than 0 and less than 1.
-[[nodiscard]] double log_evidence_against(std::uint64_t answers, std::uint64_t failures, double tolerated);
+[[nodiscard]] double log_evidence_against(std::uint64_t responses, std::uint64_t failures, double tolerated);
 
 /// \brief Change detector for a version in long-term use: detects the point at which its failure rate rises.
 ///
@@ -28,7 +28,7 @@
 	explicit change_detector(double tolerated) : tolerated_(tolerated) {}
 
 	/// \brief Adds responses and their failures.
-	void add(std::uint64_t answers, std::uint64_t failures);
+	void add(std::uint64_t responses, std::uint64_t failures);
 
 	/// \brief Logarithm of the highest running score.
 	[[nodiscard]] double log_score() const;
--- a/include/gingerdyke/rollout/trial_gate.hpp
+++ b/include/gingerdyke/rollout/trial_gate.hpp
@@ -37,7 +37,7 @@
 	void give_back(const version_ref& version);
 
 	/// \brief Records the outcome of a response.
-	void note_answer(const table::version_row& version, bool failed);
+	void record_response(const table::version_row& version, bool failed);
 
 	void on_grant(const peer::permit_grant& grant, instant now);
 
--- a/include/gingerdyke/rollout/version_evidence.hpp
+++ b/include/gingerdyke/rollout/version_evidence.hpp
@@ -24,12 +24,12 @@
 struct route_evidence
 {
 	/// Responses of the old version from the order until the new version gets its first requests.
-	answer_counts before;
+	response_counts before;
 
 	/// Responses of the old version's control replicas during the trial, exposed to the same disturbances as
 	/// the new version's.
-	by_cell<answer_counts> old_version;
-	by_cell<answer_counts> new_version;
+	by_cell<response_counts> old_version;
+	by_cell<response_counts> new_version;
 
 	route_evidence& operator+=(const route_evidence& other);
 	route_evidence& operator-=(const route_evidence& other);
@@ -79,7 +79,7 @@
 	[[nodiscard]] route_evidence all_routes() const;
 
 	/// \brief Number of responses of the new version.
-	[[nodiscard]] std::uint64_t new_answers() const;
+	[[nodiscard]] std::uint64_t new_version_responses() const;
 
 	/// \brief Number of observations of both versions. The larger of two reports by the same VM is the newer
 	/// one.
--- a/include/gingerdyke/rollout/version_shift.hpp
+++ b/include/gingerdyke/rollout/version_shift.hpp
@@ -76,7 +76,7 @@
 enum class sample_kind
 {
 	/// The first byte of a response arrived.
-	answer,
+	sample,
 	/// No byte arrived before the request was abandoned. The sample counts as slow, not as a failure or
 	/// success. Without such samples the slowest responses of a slow version would not count at all.
 	silence,
@@ -85,7 +85,7 @@
 };
 
 /// \brief Observation of one response.
-struct answer_sample
+struct response_sample
 {
 	std::string route;
 
@@ -98,7 +98,7 @@
 
 	/// Hash of the replica's incarnation; the same on all VMs.
 	std::uint64_t replica{};
-	sample_kind kind{sample_kind::answer};
+	sample_kind kind{sample_kind::sample};
 };
 
 /// \brief Observations of a shift by one VM.
@@ -218,8 +218,8 @@
 /// \brief Sums of what a VM knows of a shift: the basis of its verdict.
 struct shift_summary
 {
-	answer_counts old_version;
-	answer_counts new_version;
+	response_counts old_version;
+	response_counts new_version;
 
 	/// The strongest evidence against the new version, and the result of the test that it is as good.
 	version_verdict verdict;
@@ -282,8 +282,8 @@
 	void note_registry_time(registry_time registry_clock, instant now);
 
 	/// \brief Records a response.
-	void note_answer(
-		const service_id& service, const std::string& version, const answer_sample& answer, instant now);
+	void record_response(
+		const service_id& service, const std::string& version, const response_sample& sample, instant now);
 
 	/// \brief Version that a session's requests go to.
 	/// \param point Hash of the session. A session that is on the new version stays there.
@@ -379,9 +379,9 @@
 	[[nodiscard]] static std::size_t old_replicas(const service_state& state);
 
 	[[nodiscard]] bool is_control(const service_state& state, std::uint64_t replica) const;
-	static void record_baseline(service_state& state, const answer_sample& answer);
-	static void record_pre_trial(version_evidence& to, const answer_sample& answer);
-	void record_sample(service_state& state, bool is_new, const answer_sample& answer, instant now) const;
+	static void record_baseline(service_state& state, const response_sample& sample);
+	static void record_pre_trial(version_evidence& to, const response_sample& sample);
+	void record_sample(service_state& state, bool is_new, const response_sample& sample, instant now) const;
 	static void relay(service_state& state, const std::string& reporter);
 	bool merge_evidence(service_state& state, const std::string& reporter, const shift_evidence& evidence);
 	void evaluate(service_state& state) const;
--- a/include/gingerdyke/rollout/version_verdict.hpp
+++ b/include/gingerdyke/rollout/version_verdict.hpp
@@ -101,7 +101,7 @@
 	std::string where;
 
 	/// Number of responses considered, the bad ones among them, and the tolerated ratio of bad ones.
-	std::uint64_t answers{};
+	std::uint64_t responses{};
 	std::uint64_t bad{};
 	double tolerated{};
 
@@ -119,7 +119,7 @@
 {
 	/// The new version's responses by which failures were evaluated, and the failure ratio that it must be
 	/// shown to stay below.
-	answer_counts judged;
+	response_counts judged;
 	double tolerated{};
 
 	/// Probability that a version with the tolerated failure ratio shows so few failures.
--- a/src/control/own_rows.cpp
+++ b/src/control/own_rows.cpp
@@ -8,29 +8,29 @@
 {
 namespace
 {
-json counts_json(const rollout::answer_counts& counts)
+json counts_json(const rollout::response_counts& counts)
 {
-	return {{"answers", counts.answers}, {"failed", counts.failed}};
+	return {{"answers", counts.responses}, {"failed", counts.failed}};
 }
 
-rollout::answer_counts counts_of(const json& value)
+rollout::response_counts counts_of(const json& value)
 {
 	return {value.at("answers").get<std::uint64_t>(), value.at("failed").get<std::uint64_t>()};
 }
 
-json cells_json(const rollout::by_cell<rollout::answer_counts>& seen)
+json cells_json(const rollout::by_cell<rollout::response_counts>& seen)
 {
 	json cells = json::array();
 	for (const auto& [cell, counts] : seen)
 	{
-		cells.push_back({cell, counts.answers, counts.failed});
+		cells.push_back({cell, counts.responses, counts.failed});
 	}
 	return cells;
 }
 
-rollout::by_cell<rollout::answer_counts> cells_of(const json& value)
+rollout::by_cell<rollout::response_counts> cells_of(const json& value)
 {
-	rollout::by_cell<rollout::answer_counts> seen;
+	rollout::by_cell<rollout::response_counts> seen;
 	for (const auto& one : value)
 	{
 		seen[one.at(0).get<rollout::cell_index>()] +=
--- a/src/control/report_message.cpp
+++ b/src/control/report_message.cpp
@@ -33,35 +33,35 @@
 	return all;
 }
 
-wire::RelayCounts written(const rollout::answer_counts& counts)
+wire::RelayCounts written(const rollout::response_counts& counts)
 {
 	wire::RelayCounts message;
-	message.answers = static_cast<std::int64_t>(counts.answers);
+	message.answers = static_cast<std::int64_t>(counts.responses);
 	message.failed = static_cast<std::int64_t>(counts.failed);
 	return message;
 }
 
-rollout::answer_counts read(const wire::RelayCounts& message)
+rollout::response_counts read(const wire::RelayCounts& message)
 {
 	return {static_cast<std::uint64_t>(message.answers), static_cast<std::uint64_t>(message.failed)};
 }
 
-std::vector<wire::RelayCellCounts> written(const rollout::by_cell<rollout::answer_counts>& seen)
+std::vector<wire::RelayCellCounts> written(const rollout::by_cell<rollout::response_counts>& seen)
 {
 	std::vector<wire::RelayCellCounts> all;
 	for (const auto& [cell, counts] : seen)
 	{
 		auto& added = all.emplace_back();
 		added.cell = static_cast<std::int32_t>(cell);
-		added.answers = static_cast<std::int64_t>(counts.answers);
+		added.answers = static_cast<std::int64_t>(counts.responses);
 		added.failed = static_cast<std::int64_t>(counts.failed);
 	}
 	return all;
 }
 
-rollout::by_cell<rollout::answer_counts> read(const std::vector<wire::RelayCellCounts>& cells)
+rollout::by_cell<rollout::response_counts> read(const std::vector<wire::RelayCellCounts>& cells)
 {
-	rollout::by_cell<rollout::answer_counts> seen;
+	rollout::by_cell<rollout::response_counts> seen;
 	for (const auto& one : cells)
 	{
 		seen[static_cast<rollout::cell_index>(one.cell)] +=
--- a/src/node/request_desk_endings.cpp
+++ b/src/node/request_desk_endings.cpp
@@ -81,7 +81,7 @@
 	const bool judged = report.end == attempt_end::complete || report.end == attempt_end::failed;
 	if (version != nullptr && judged)
 	{
-		parts_.gate.note_answer(*version, report.end == attempt_end::failed);
+		parts_.gate.record_response(*version, report.end == attempt_end::failed);
 		record.on_permit = false;
 	}
 }
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -138,10 +138,10 @@
 	}
 }
 
-rollout::answer_sample exchange::sample_of(duration took) const
+rollout::response_sample exchange::sample_of(duration took) const
 {
 	const auto& to = *attempt_->to;
-	rollout::answer_sample sample;
+	rollout::response_sample sample;
 	sample.route = route_->id.str();
 	sample.model = route_->models.empty() ? std::string{} : route_->models[attempt_->size.index].str();
 	sample.relative_time = rollout::relative_answer_time(took, prompt_.tokens_in);
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -101,14 +101,14 @@
 	json fields{{"service", plan.service.str()}, {"from", plan.from_version}, {"to", plan.to_version},
 		{"state", rollout::name_of(plan.state)}, {"row_version", plan.row.value()}};
 	fields["vms"] = news.known.vms;
-	fields["old_answers"] = news.known.old_version.answers;
+	fields["old_answers"] = news.known.old_version.responses;
 	fields["old_failed"] = news.known.old_version.failed;
-	fields["new_answers"] = news.known.new_version.answers;
+	fields["new_answers"] = news.known.new_version.responses;
 	fields["new_failed"] = news.known.new_version.failed;
 	const auto& verdict = news.known.verdict;
 	fields["ground"] = rollout::name_of(verdict.ground);
 	fields["where"] = verdict.where;
-	fields["answers"] = verdict.answers;
+	fields["answers"] = verdict.responses;
 	fields["bad"] = verdict.bad;
 	fields["tolerated"] = verdict.tolerated;
 	fields["evidence"] = verdict.evidence;
@@ -116,7 +116,7 @@
 	fields["promoted"] = plan.promoted.has_value();
 	fields["shown_good"] = proof.is_shown;
 	fields["bad_answers"] = proof.bad;
-	fields["judged_answers"] = proof.judged.answers;
+	fields["judged_answers"] = proof.judged.responses;
 	fields["judged_failed"] = proof.judged.failed;
 	fields["failure_limit"] = proof.tolerated;
 	fields["failure_risk"] = proof.failure_risk;
@@ -337,9 +337,9 @@
 	}
 }
 
-void gateway::note_answer(const routing::replica& from, const rollout::answer_sample& answer)
+void gateway::note_answer(const routing::replica& from, const rollout::response_sample& answer)
 {
-	versions_.note_answer(from.service, from.version, answer, steady_now());
+	versions_.record_response(from.service, from.version, answer, steady_now());
 	if (evidence_hook_ && versions_.has_evidence(from.service))
 	{
 		evidence_hook_();
--- a/src/rollout/answer_cells.cpp
+++ b/src/rollout/answer_cells.cpp
@@ -23,14 +23,14 @@
 
 /// Groups ordered by ratio of bad responses in one fold, lowest first. A group without responses in that
 /// fold is assigned the ratio over all groups.
-group_ranking groups_by_bad_ratio(const by_cell<answer_counts>& seen, std::size_t fold)
+group_ranking groups_by_bad_ratio(const by_cell<response_counts>& seen, std::size_t fold)
 {
 	const auto overall_ratio = seen.sum(cells_of_fold(fold)).bad_ratio();
 	std::array<double, replica_group_count> ratios{};
 	for (std::size_t group = 0; group < replica_group_count; ++group)
 	{
 		const auto* counts = seen.find(cell_of(group, fold));
-		const bool is_known = counts != nullptr && counts->answers > 0;
+		const bool is_known = counts != nullptr && counts->responses > 0;
 		ratios[group] = is_known ? counts->bad_ratio() : overall_ratio;
 	}
 	group_ranking ranking{};
@@ -41,41 +41,41 @@
 }
 } // namespace
 
-answer_counts& answer_counts::operator+=(const answer_counts& other) noexcept
+response_counts& response_counts::operator+=(const response_counts& other) noexcept
 {
-	answers += other.answers;
+	responses += other.responses;
 	failed += other.failed;
 	return *this;
 }
 
-answer_counts& answer_counts::operator-=(const answer_counts& other) noexcept
+response_counts& response_counts::operator-=(const response_counts& other) noexcept
 {
-	answers -= std::min(answers, other.answers);
+	responses -= std::min(responses, other.responses);
 	failed -= std::min(failed, other.failed);
 	return *this;
 }
 
-double answer_counts::bad_ratio() const noexcept
+double response_counts::bad_ratio() const noexcept
 {
-	return answers == 0 ? 0 : static_cast<double>(failed) / static_cast<double>(answers);
+	return responses == 0 ? 0 : static_cast<double>(failed) / static_cast<double>(responses);
 }
 
-cell_set healthy_cells(const by_cell<answer_counts>& seen)
+cell_set healthy_cells(const by_cell<response_counts>& seen)
 {
 	cell_set selected;
 	for (std::size_t fold = 0; fold < fold_count; ++fold)
 	{
-		const auto target_count = (seen.sum(cells_of_fold(fold)).answers + 1) / 2;
-		std::uint64_t answers = 0;
+		const auto target_count = (seen.sum(cells_of_fold(fold)).responses + 1) / 2;
+		std::uint64_t responses = 0;
 		for (const auto group : groups_by_bad_ratio(seen, 1 - fold))
 		{
-			if (answers >= target_count)
+			if (responses >= target_count)
 			{
 				break;
 			}
 			const auto cell = cell_of(group, fold);
 			const auto* counts = seen.find(cell);
-			answers += counts == nullptr ? 0 : counts->answers;
+			responses += counts == nullptr ? 0 : counts->responses;
 			selected.set(cell);
 		}
 	}
--- a/src/rollout/sequential_test.cpp
+++ b/src/rollout/sequential_test.cpp
@@ -18,22 +18,22 @@
 	return std::min(highest, tolerated * std::pow(highest / tolerated, exponent));
 }
 
-double log_ratio(std::uint64_t answers, std::uint64_t failures, double alternative, double tolerated)
+double log_ratio(std::uint64_t responses, std::uint64_t failures, double alternative, double tolerated)
 {
 	const auto failed = static_cast<double>(failures);
-	const auto succeeded = static_cast<double>(answers - std::min(answers, failures));
+	const auto succeeded = static_cast<double>(responses - std::min(responses, failures));
 	return failed * std::log(alternative / tolerated) +
 		   succeeded * std::log((1 - alternative) / (1 - tolerated));
 }
 } // namespace
 
-double log_evidence_against(std::uint64_t answers, std::uint64_t failures, double tolerated)
+double log_evidence_against(std::uint64_t responses, std::uint64_t failures, double tolerated)
 {
 	constexpr unsigned steps = 6;
 	std::array<double, steps> logs{};
 	for (unsigned i = 0; i < steps; ++i)
 	{
-		logs[i] = log_ratio(answers, failures, alternative_rate(tolerated, i, steps), tolerated);
+		logs[i] = log_ratio(responses, failures, alternative_rate(tolerated, i, steps), tolerated);
 	}
 	const auto highest = *std::max_element(logs.begin(), logs.end());
 	double sum = 0;
@@ -44,13 +44,13 @@
 	return highest + std::log(sum / steps);
 }
 
-void change_detector::add(std::uint64_t answers, std::uint64_t failures)
+void change_detector::add(std::uint64_t responses, std::uint64_t failures)
 {
 	for (unsigned i = 0; i < rate_count; ++i)
 	{
 		const auto alternative = alternative_rate(tolerated_, i, rate_count);
 		log_scores_[i] =
-			std::max(0.0, log_scores_[i]) + log_ratio(answers, failures, alternative, tolerated_);
+			std::max(0.0, log_scores_[i]) + log_ratio(responses, failures, alternative, tolerated_);
 	}
 }
 
--- a/src/rollout/time_comparison.cpp
+++ b/src/rollout/time_comparison.cpp
@@ -48,13 +48,14 @@
 }
 
 /// Adds the number of responses of a model per cell, and how many of them are slow.
-void add_slow(by_cell<answer_counts>& target, const by_cell<answer_times>& seen, double fast_limit_latency)
+void add_slow(by_cell<response_counts>& target, const by_cell<answer_times>& seen, double fast_limit_latency)
 {
 	for (const auto& [cell, latencies] : seen)
 	{
-		const auto answers = latencies.size();
-		const auto slow = static_cast<double>(answers) * (1 - latencies.fraction_within(fast_limit_latency));
-		target[cell] += {answers, static_cast<std::uint64_t>(std::lround(slow))};
+		const auto responses = latencies.size();
+		const auto slow =
+			static_cast<double>(responses) * (1 - latencies.fraction_within(fast_limit_latency));
+		target[cell] += {responses, static_cast<std::uint64_t>(std::lround(slow))};
 	}
 }
 
@@ -62,7 +63,7 @@
 cell_set fast_cells(const times_by_model& seen, const std::map<std::string, double>& limits,
 	by_cell<answer_times> time_evidence::*version)
 {
-	by_cell<answer_counts> slow;
+	by_cell<response_counts> slow;
 	for (const auto& [model, limit] : limits)
 	{
 		add_slow(slow, seen.at(model).*version, limit);
@@ -92,7 +93,7 @@
 }
 
 /// Log-likelihood of latencies under the old version's distribution moved by `offset` buckets.
-double log_likelihood(const answer_times& answers, const bucket_fractions& old_fractions, int offset)
+double log_likelihood(const answer_times& responses, const bucket_fractions& old_fractions, int offset)
 {
 	constexpr int highest = static_cast<int>(answer_times::bucket_count) - 1;
 	bucket_fractions moved{};
@@ -106,7 +107,7 @@
 	{
 		const auto fraction =
 			(1 - unexplained_ratio) * moved[bucket] + unexplained_ratio / double(moved.size());
-		sum += answers.counts()[bucket] * std::log(fraction);
+		sum += responses.counts()[bucket] * std::log(fraction);
 	}
 	return sum;
 }
@@ -177,12 +178,12 @@
 double probability_if_slow(
 	const std::vector<latency_comparison>& event_intervals, const latency_tuning& tuning)
 {
-	double answers = 0;
+	double responses = 0;
 	double fast_count = 0;
 	for (const auto& comparison : event_intervals)
 	{
 		const auto size = static_cast<double>(comparison.all_new.size());
-		answers += size;
+		responses += size;
 		fast_count += size * comparison.all_new.fraction_within(comparison.fastest * tuning.fastest_factor);
 	}
 	const auto count = std::floor(fast_count);
@@ -190,7 +191,7 @@
 	{
 		return 1;
 	}
-	const boost::math::binomial_distribution<double> of_slow{answers, tuning.max_fast_ratio_of_slow};
+	const boost::math::binomial_distribution<double> of_slow{responses, tuning.max_fast_ratio_of_slow};
 	return boost::math::cdf(boost::math::complement(of_slow, count - 1));
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/trial_gate.cpp
+++ b/src/rollout/trial_gate.cpp
@@ -50,7 +50,7 @@
 	}
 }
 
-void trial_gate::note_answer(const table::version_row& version, bool failed)
+void trial_gate::record_response(const table::version_row& version, bool failed)
 {
 	auto& entry = entry_of(version);
 	++entry.seen.answers;
--- a/src/rollout/version_evidence.cpp
+++ b/src/rollout/version_evidence.cpp
@@ -119,15 +119,16 @@
 	return all;
 }
 
-std::uint64_t version_evidence::new_answers() const
+std::uint64_t version_evidence::new_version_responses() const
 {
-	return all_routes().new_version.sum().answers;
+	return all_routes().new_version.sum().responses;
 }
 
 std::uint64_t version_evidence::size() const
 {
 	const auto all = all_routes();
-	const auto answers = all.before.answers + all.old_version.sum().answers + all.new_version.sum().answers;
-	return answers + size_of(by_model) + size_of(by_pace);
+	const auto responses =
+		all.before.responses + all.old_version.sum().responses + all.new_version.sum().responses;
+	return responses + size_of(by_model) + size_of(by_pace);
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/version_shift_evidence.cpp
+++ b/src/rollout/version_shift_evidence.cpp
@@ -14,26 +14,26 @@
 constexpr std::uint64_t group_hash_seed = 0x67726f757073;
 
 /// Key that latencies are grouped by: the model or, for services without models, the route.
-const std::string& latency_key(const answer_sample& answer)
+const std::string& latency_key(const response_sample& sample)
 {
-	return answer.model.empty() ? answer.route : answer.model;
+	return sample.model.empty() ? sample.route : sample.model;
 }
 
-time_evidence& latencies_of(version_evidence& seen, const answer_sample& answer)
+time_evidence& latencies_of(version_evidence& seen, const response_sample& sample)
 {
-	auto& times = answer.kind == sample_kind::pace ? seen.by_pace : seen.by_model;
-	return times[latency_key(answer)];
+	auto& times = sample.kind == sample_kind::pace ? seen.by_pace : seen.by_model;
+	return times[latency_key(sample)];
 }
 
-void add_outcome(const answer_sample& answer, answer_counts& to)
+void add_outcome(const response_sample& sample, response_counts& to)
 {
-	++to.answers;
-	to.failed += answer.failed ? 1 : 0;
+	++to.responses;
+	to.failed += sample.failed ? 1 : 0;
 }
 
-void note_outcome(route_evidence& to, bool is_new, cell_index cell, const answer_sample& answer)
+void note_outcome(route_evidence& to, bool is_new, cell_index cell, const response_sample& sample)
 {
-	add_outcome(answer, (is_new ? to.new_version : to.old_version)[cell]);
+	add_outcome(sample, (is_new ? to.new_version : to.old_version)[cell]);
 }
 } // namespace
 
@@ -134,8 +134,8 @@
 	return all;
 }
 
-void version_shift::note_answer(
-	const service_id& service, const std::string& version, const answer_sample& answer, instant now)
+void version_shift::record_response(
+	const service_id& service, const std::string& version, const response_sample& sample, instant now)
 {
 	const auto found = services_.find(service);
 	if (found == services_.end())
@@ -147,12 +147,12 @@
 	{
 		if (version == state.stable_version)
 		{
-			record_baseline(state, answer);
+			record_baseline(state, sample);
 		}
 		return;
 	}
 	const bool is_new = version == state.plan->to_version;
-	record_sample(state, is_new, answer, now);
+	record_sample(state, is_new, sample, now);
 	if (is_new)
 	{
 		state.unwritten.insert(std::string{});
@@ -160,21 +160,21 @@
 	}
 }
 
-void version_shift::record_baseline(service_state& state, const answer_sample& answer)
+void version_shift::record_baseline(service_state& state, const response_sample& sample)
 {
-	if (answer.kind == sample_kind::pace)
+	if (sample.kind == sample_kind::pace)
 	{
-		state.baseline_event_intervals[latency_key(answer)].note(answer.relative_time);
+		state.baseline_event_intervals[latency_key(sample)].note(sample.relative_time);
 	}
 }
 
-void version_shift::record_pre_trial(version_evidence& to, const answer_sample& answer)
+void version_shift::record_pre_trial(version_evidence& to, const response_sample& sample)
 {
-	if (answer.kind == sample_kind::answer)
+	if (sample.kind == sample_kind::sample)
 	{
-		add_outcome(answer, to.by_route[answer.route].before);
+		add_outcome(sample, to.by_route[sample.route].before);
 	}
-	latencies_of(to, answer).before.note(answer.relative_time);
+	latencies_of(to, sample).before.note(sample.relative_time);
 }
 
 bool version_shift::is_control(const service_state& state, std::uint64_t replica) const
@@ -186,7 +186,7 @@
 /// Latencies are compared during the trial only, and not in its peak-load phase: otherwise the engines of the
 /// two versions carry different loads.
 void version_shift::record_sample(
-	service_state& state, bool is_new, const answer_sample& answer, instant now) const
+	service_state& state, bool is_new, const response_sample& sample, instant now) const
 {
 	const auto schedule = schedule_of(*state.plan);
 	const auto elapsed = elapsed_fraction(*state.plan, now);
@@ -195,33 +195,33 @@
 	{
 		for (auto* to : sums)
 		{
-			record_pre_trial(*to, answer);
+			record_pre_trial(*to, sample);
 		}
 		return;
 	}
-	if (!is_new && !is_control(state, answer.replica))
+	if (!is_new && !is_control(state, sample.replica))
 	{
 		return;
 	}
 	const bool is_peak_load = carries_peak_load(state, now);
 	const bool is_peak_load_phase = schedule.is_peak_load_phase(elapsed);
 	const bool is_ramping_up = state.plan->promoted && elapsed >= schedule.trial_ends_at();
-	const auto group = mix_hash(answer.replica, group_hash_seed) % replica_group_count;
+	const auto group = mix_hash(sample.replica, group_hash_seed) % replica_group_count;
 	const auto cell = cell_of(group, random_below(random_, fold_count));
 	for (auto* to : sums)
 	{
-		if (answer.kind == sample_kind::answer)
+		if (sample.kind == sample_kind::sample)
 		{
-			note_outcome(to->by_route[answer.route], is_new, cell, answer);
+			note_outcome(to->by_route[sample.route], is_new, cell, sample);
 			if (is_peak_load_phase)
 			{
-				note_outcome(to->late, is_new, cell, answer);
+				note_outcome(to->late, is_new, cell, sample);
 			}
 		}
 		if (!is_ramping_up && !is_peak_load)
 		{
-			auto& times = latencies_of(*to, answer);
-			(is_new ? times.new_version : times.old_version)[cell].note(answer.relative_time);
+			auto& times = latencies_of(*to, sample);
+			(is_new ? times.new_version : times.old_version)[cell].note(sample.relative_time);
 		}
 	}
 }
--- a/src/rollout/version_shift_plans.cpp
+++ b/src/rollout/version_shift_plans.cpp
@@ -19,7 +19,7 @@
 		return true;
 	}
 	return now - state.followed_since >= tuning_.late_follower_wait &&
-		   state.total.new_answers() >= tuning_.late_follower_min_responses;
+		   state.total.new_version_responses() >= tuning_.late_follower_min_responses;
 }
 
 instant version_shift::completion_time(const shift_plan& plan) const
@@ -78,8 +78,8 @@
 		return;
 	}
 	const auto at = proof_deadline_time(state);
-	const bool has_bad_answers = state.proof_deadline_start.has_value();
-	if (!at || now < *at || (!has_bad_answers && !has_registry_contact(now)))
+	const bool has_bad_responses = state.proof_deadline_start.has_value();
+	if (!at || now < *at || (!has_bad_responses && !has_registry_contact(now)))
 	{
 		return;
 	}
--- a/src/rollout/version_verdict.cpp
+++ b/src/rollout/version_verdict.cpp
@@ -34,8 +34,8 @@
 	const route_evidence& seen, const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
 	const auto during_trial = seen.old_version.sum(healthy.of_old);
-	return during_trial.answers >= tuning.latencies.min_old_responses ? during_trial.bad_ratio()
-																	  : seen.before.bad_ratio();
+	return during_trial.responses >= tuning.latencies.min_old_responses ? during_trial.bad_ratio()
+																		: seen.before.bad_ratio();
 }
 
 double overall_old_failure_ratio(const route_evidence& seen)
@@ -47,13 +47,13 @@
 
 /// \param judged Responses of the new version.
 version_verdict judge_failures(
-	const std::string& route, const answer_counts& judged, double tolerated, const verdict_tuning& tuning)
+	const std::string& route, const response_counts& judged, double tolerated, const verdict_tuning& tuning)
 {
 	const auto bounded = std::clamp(tolerated, min_tolerated, max_tolerated);
-	version_verdict verdict{verdict_reason::failures, route, judged.answers, judged.failed, bounded, 0};
+	version_verdict verdict{verdict_reason::failures, route, judged.responses, judged.failed, bounded, 0};
 	if (judged.failed >= tuning.min_failures)
 	{
-		verdict.evidence = log_evidence_against(judged.answers, judged.failed, bounded);
+		verdict.evidence = log_evidence_against(judged.responses, judged.failed, bounded);
 	}
 	return verdict;
 }
@@ -76,17 +76,17 @@
 	before -= seen.late.new_version;
 	const auto overall_ratio = before.sum().bad_ratio();
 	double expected = 0;
-	double answers = 0;
+	double responses = 0;
 	for (const auto& [cell, counts] : seen.late.new_version)
 	{
 		const auto* found = before.find(cell);
-		const auto group_counts = found == nullptr ? answer_counts{} : *found;
+		const auto group_counts = found == nullptr ? response_counts{} : *found;
 		const auto share = (static_cast<double>(group_counts.failed) + smoothing_responses * overall_ratio) /
-						   (static_cast<double>(group_counts.answers) + smoothing_responses);
-		expected += share * static_cast<double>(counts.answers);
-		answers += static_cast<double>(counts.answers);
+						   (static_cast<double>(group_counts.responses) + smoothing_responses);
+		expected += share * static_cast<double>(counts.responses);
+		responses += static_cast<double>(counts.responses);
 	}
-	return answers > 0 ? expected / answers : overall_ratio;
+	return responses > 0 ? expected / responses : overall_ratio;
 }
 
 version_verdict judge_peak_load(const version_evidence& seen, const route_evidence& all,
@@ -109,31 +109,31 @@
 /// Slow responses of one model, and how many of them are tolerated.
 struct slow_counts
 {
-	double answers{};
+	double responses{};
 	double slow{};
 	double tolerated{};
 };
 
 slow_counts count_slow_and_tolerated(const latency_comparison& latencies, const verdict_tuning& tuning)
 {
-	const auto answers = static_cast<double>(latencies.new_version.size());
+	const auto responses = static_cast<double>(latencies.new_version.size());
 	// A burst during the trial slows both versions, so the limit is the old version's fraction of fast
 	// responses in the same period.
 	const auto fast_share = latencies.old_version.fraction_within(latencies.fast_limit_latency);
-	const auto slow = answers * (1 - latencies.new_version.fraction_within(latencies.fast_limit_latency));
-	return {answers, slow, answers * (1 - tuning.tolerated_fast * fast_share)};
+	const auto slow = responses * (1 - latencies.new_version.fraction_within(latencies.fast_limit_latency));
+	return {responses, slow, responses * (1 - tuning.tolerated_fast * fast_share)};
 }
 
 version_verdict judge_slow(const std::string& model, const slow_counts& counts, const verdict_tuning& tuning)
 {
-	const auto answers = static_cast<std::uint64_t>(counts.answers);
+	const auto responses = static_cast<std::uint64_t>(counts.responses);
 	const auto slow = static_cast<std::uint64_t>(std::lround(counts.slow));
-	const auto share = counts.answers <= 0 ? max_tolerated : counts.tolerated / counts.answers;
+	const auto share = counts.responses <= 0 ? max_tolerated : counts.tolerated / counts.responses;
 	const auto tolerated = std::clamp(share, min_tolerated, max_tolerated);
-	version_verdict verdict{verdict_reason::latency, model, answers, slow, tolerated, 0};
+	version_verdict verdict{verdict_reason::latency, model, responses, slow, tolerated, 0};
 	if (slow >= tuning.min_slow_responses)
 	{
-		verdict.evidence = log_evidence_against(answers, slow, tolerated);
+		verdict.evidence = log_evidence_against(responses, slow, tolerated);
 	}
 	return verdict;
 }
@@ -148,7 +148,7 @@
 	{
 		const auto counts = count_slow_and_tolerated(comparison, tuning);
 		verdicts.push_back(judge_slow(comparison.model, counts, tuning));
-		all.answers += counts.answers;
+		all.responses += counts.responses;
 		all.slow += counts.slow;
 		all.tolerated += counts.tolerated;
 	}
@@ -157,13 +157,14 @@
 }
 
 /// Probability of at most this many failures at the tolerated failure ratio.
-double probability_of_so_few(const answer_counts& judged, double tolerated)
+double probability_of_so_few(const response_counts& judged, double tolerated)
 {
-	if (judged.answers == 0)
+	if (judged.responses == 0)
 	{
 		return 1;
 	}
-	const boost::math::binomial_distribution<double> failures{static_cast<double>(judged.answers), tolerated};
+	const boost::math::binomial_distribution<double> failures{
+		static_cast<double>(judged.responses), tolerated};
 	return boost::math::cdf(failures, static_cast<double>(judged.failed));
 }
 
@@ -171,7 +172,7 @@
 /// ones; the stronger result counts. With few responses, half of them are not enough.
 struct failure_proof
 {
-	answer_counts judged;
+	response_counts judged;
 	double tolerated{};
 	double risk{1};
 };
--- a/tests/emulator/shift.cpp
+++ b/tests/emulator/shift.cpp
@@ -23,7 +23,7 @@
 	setup.vms = 300;
 	setup.domains = 5;
 	setup.replicas = 192;
-	setup.answers_per_s = 1200;
+	setup.responses_per_s = 1200;
 	return setup;
 }
 
@@ -93,7 +93,7 @@
 	auto setup = small_deployment();
 	setup.vms = 6;
 	setup.replicas = 12;
-	setup.answers_per_s = 25;
+	setup.responses_per_s = 25;
 	setup.fault = version_fault::fails;
 	constexpr unsigned seeds = 40;
 	unsigned completed = 0;
--- a/tests/emulator/shift_with_faulty_replicas.cpp
+++ b/tests/emulator/shift_with_faulty_replicas.cpp
@@ -18,7 +18,7 @@
 	shift_setup setup;
 	setup.vms = 91;
 	setup.replicas = 140;
-	setup.answers_per_s = 300;
+	setup.responses_per_s = 300;
 	return setup;
 }
 
--- a/tests/rollout/verdict_after_restart.cpp
+++ b/tests/rollout/verdict_after_restart.cpp
@@ -101,9 +101,9 @@
 	{
 		for (int i = 0; i < 2; ++i)
 		{
-			const auto version = vm.version_for(service, ++answers_ * 0x9e3779b97f4a7c15U, now_);
-			const bool failed = is_bad_ && version == "v2" && answers_ % 2 == 0;
-			vm.note_answer(service, version, {"route", "model", failed, 1}, now_);
+			const auto version = vm.version_for(service, ++response_count_ * 0x9e3779b97f4a7c15U, now_);
+			const bool failed = is_bad_ && version == "v2" && response_count_ % 2 == 0;
+			vm.record_response(service, version, {"route", "model", failed, 1}, now_);
 		}
 	}
 
@@ -151,7 +151,7 @@
 	std::array<bool, vm_count> registry_lost_{};
 	std::optional<shift_plan> plan_;
 	std::uint64_t start_count_ = 0;
-	std::uint64_t answers_ = 0;
+	std::uint64_t response_count_ = 0;
 	unsigned steps_ = 0;
 	bool was_completed_ = false;
 };
--- a/tests/rollout/version_shift.cpp
+++ b/tests/rollout/version_shift.cpp
@@ -156,8 +156,8 @@
 		}
 		return all;
 	};
-	const auto relay = [&](const char* reporter, std::uint64_t answers, std::uint64_t failed)
-	{ one.shift.on_relayed_evidence(reporter, failures(plan, answers, failed), one.now); };
+	const auto relay = [&](const char* reporter, std::uint64_t responses, std::uint64_t failed)
+	{ one.shift.on_relayed_evidence(reporter, failures(plan, responses, failed), one.now); };
 	relay("a", 20, 0);
 	CHECK(evidence_due().empty());
 	// Fewer are bad than tolerated: a good version's failures are not written.
@@ -169,7 +169,7 @@
 	REQUIRE(first.size() == 2);
 	CHECK(first[0].reporter.empty());
 	CHECK(first[1].reporter == "a");
-	CHECK(first[1].evidence.seen.by_route.at("route").new_version.sum() == answer_counts{41, 12});
+	CHECK(first[1].evidence.seen.by_route.at("route").new_version.sum() == response_counts{41, 12});
 	relay("a", 50, 13);
 	relay("a", 45, 20);
 	CHECK(evidence_due().empty());
@@ -218,7 +218,7 @@
 		one.see("v1", 1, 0, 1 + 0.01 * (i % 100));
 	}
 	one.pass(seconds{11});
-	SECTION("cold caches: a quarter of the answers take twice as long")
+	SECTION("cold caches: a quarter of the responses take twice as long")
 	{
 		for (unsigned i = 0; i < 60; ++i)
 		{
--- a/tests/rollout/version_verdict.cpp
+++ b/tests/rollout/version_verdict.cpp
@@ -15,14 +15,14 @@
 }
 
 /// Adds responses of a group, half of them to each of its cells.
-void add(by_cell<answer_counts>& to, std::size_t group, answer_counts counts)
+void add(by_cell<response_counts>& to, std::size_t group, response_counts counts)
 {
-	to[cell_of(group, 0)] += {counts.answers / 2, counts.failed / 2};
-	to[cell_of(group, 1)] += {(counts.answers + 1) / 2, (counts.failed + 1) / 2};
+	to[cell_of(group, 0)] += {counts.responses / 2, counts.failed / 2};
+	to[cell_of(group, 1)] += {(counts.responses + 1) / 2, (counts.failed + 1) / 2};
 }
 
 /// The same counts in each group of replicas.
-route_evidence in_all_groups(answer_counts each, answer_counts of_old = {1000, 0})
+route_evidence in_all_groups(response_counts each, response_counts of_old = {1000, 0})
 {
 	route_evidence seen;
 	seen.before = of_old;
@@ -105,7 +105,7 @@
 		// One or two responses per group; every other group fails.
 		for (std::size_t i = 0; i < 8; ++i)
 		{
-			add(evidence.new_version, i, i % 2 == 0 ? answer_counts{1, 1} : answer_counts{2, 0});
+			add(evidence.new_version, i, i % 2 == 0 ? response_counts{1, 1} : response_counts{2, 0});
 		}
 		add(evidence.new_version, 7, {0, 1});
 	}
--- a/tests/support/shift_vm.hpp
+++ b/tests/support/shift_vm.hpp
@@ -41,7 +41,7 @@
 	{
 		for (unsigned i = 0; i < count; ++i)
 		{
-			shift.note_answer(service, version, {"route", "model", i < failures, relative_time}, now);
+			shift.record_response(service, version, {"route", "model", i < failures, relative_time}, now);
 		}
 	}
 
