--- a/emulator/shift_emulator.cpp
+++ b/emulator/shift_emulator.cpp
@@ -295,7 +295,7 @@
 		const bool is_large = random_fraction() < large_model_ratio;
 		sample.model = is_large ? "large" : "small";
 		sample.replica = stable_hash(target.replica->id.str());
-		sample.relative_time = latency_at(target, is_new);
+		sample.relative_latency = latency_at(target, is_new);
 		sample.failed = random_fraction() < failure_ratio(target, is_new, route == 0);
 		const bool slow_version = is_new && setup_.fault == version_fault::slow;
 		if (is_new && (sample.failed || slow_version))
@@ -309,8 +309,8 @@
 		constexpr double stream_ratio = 0.6;
 		if (!sample.failed && random_fraction() < stream_ratio)
 		{
-			sample.kind = rollout::sample_kind::pace;
-			sample.relative_time = event_interval_at(target, is_new);
+			sample.kind = rollout::sample_kind::event_interval;
+			sample.relative_latency = event_interval_at(target, is_new);
 			vm.record_response(service, version, sample, now_);
 		}
 	}
--- a/include/gingerdyke/rollout/time_comparison.hpp
+++ b/include/gingerdyke/rollout/latency_comparison.hpp
@@ -35,11 +35,11 @@
 struct latency_comparison
 {
 	std::string model;
-	answer_times old_version;
-	answer_times new_version;
+	latency_histogram old_version;
+	latency_histogram new_version;
 
 	/// All responses of the new version, of healthy and faulty replicas.
-	answer_times all_new;
+	latency_histogram all_new;
 
 	/// The relative latency up to which a response is fast.
 	double fast_limit_latency{};
@@ -51,7 +51,7 @@
 
 /// \brief The latencies to compare, by model; models with too few responses of the old version are left out.
 [[nodiscard]] std::vector<latency_comparison> compare_latencies(
-	const times_by_model& seen, const latency_tuning& tuning);
+	const latencies_by_model& seen, const latency_tuning& tuning);
 
 /// \brief Log-likelihood ratio of "the new version is about as fast as the old one" over "it is three or more
 /// times slower". For a version that slow, the probability that the result ever exceeds log(1/a) is at most
--- a/include/gingerdyke/rollout/version_evidence.hpp
+++ b/include/gingerdyke/rollout/version_evidence.hpp
@@ -3,8 +3,8 @@
 #pragma once
 
 #include <gingerdyke/base/units.hpp>
-#include <gingerdyke/rollout/answer_cells.hpp>
-#include <gingerdyke/rollout/answer_times.hpp>
+#include <gingerdyke/rollout/latency_histogram.hpp>
+#include <gingerdyke/rollout/response_cells.hpp>
 #include <map>
 #include <string>
 
@@ -13,12 +13,12 @@
 /// \brief Time to first byte divided by the time that an idle engine takes to process the prompt. Makes
 /// responses to prompts of different sizes comparable.
 /// \param prompt_tokens Number of tokens in the prompt; 0 for services without models.
-[[nodiscard]] double relative_answer_time(duration took, double prompt_tokens) noexcept;
+[[nodiscard]] double relative_first_byte_latency(duration took, double prompt_tokens) noexcept;
 
 /// \brief Time between two events of a stream divided by that of an idle engine. It hardly depends on the
 /// engine's queue: compared with overloaded engines of the old version, the time to first byte of an eight
 /// times slower version was no longer than theirs.
-[[nodiscard]] double relative_pace(duration between_events) noexcept;
+[[nodiscard]] double relative_event_interval(duration between_events) noexcept;
 
 /// \brief Failures on one route; a version may be bad on a single route only.
 struct route_evidence
@@ -37,23 +37,23 @@
 };
 
 /// \brief Relative latencies of one model's responses, or of one route's if the service has no models.
-struct time_evidence
+struct latency_evidence
 {
 	/// Latencies of the old version before the order; recorded for event intervals only.
-	answer_times usual;
+	latency_histogram usual;
 
 	/// See `route_evidence`.
-	answer_times before;
-	by_cell<answer_times> old_version;
-	by_cell<answer_times> new_version;
+	latency_histogram before;
+	by_cell<latency_histogram> old_version;
+	by_cell<latency_histogram> new_version;
 
-	time_evidence& operator+=(const time_evidence& other);
-	time_evidence& operator-=(const time_evidence& other);
-	bool operator==(const time_evidence&) const = default;
+	latency_evidence& operator+=(const latency_evidence& other);
+	latency_evidence& operator-=(const latency_evidence& other);
+	bool operator==(const latency_evidence&) const = default;
 };
 
 /// \brief Latencies by model.
-using times_by_model = std::map<std::string, time_evidence>;
+using latencies_by_model = std::map<std::string, latency_evidence>;
 
 /// \brief All observations of a shift by one or several VMs.
 struct version_evidence
@@ -61,8 +61,8 @@
 	std::map<std::string, route_evidence> by_route;
 
 	/// Times to first byte and event intervals of streams, by model; by route for services without models.
-	times_by_model by_model;
-	times_by_model by_pace;
+	latencies_by_model first_byte_by_model;
+	latencies_by_model event_intervals_by_model;
 
 	/// Failures on all routes in the peak-load phase of the trial, also contained in `by_route`. A version
 	/// may become bad late, or only under peak load, which its replicas carry in this phase if there are
--- a/include/gingerdyke/rollout/version_shift.hpp
+++ b/include/gingerdyke/rollout/version_shift.hpp
@@ -79,9 +79,9 @@
 	sample,
 	/// No byte arrived before the request was abandoned. The sample counts as slow, not as a failure or
 	/// success. Without such samples the slowest responses of a slow version would not count at all.
-	silence,
+	no_response,
 	/// The second event of a stream arrived, or the stream was abandoned while waiting for it.
-	pace,
+	event_interval,
 };
 
 /// \brief Observation of one response.
@@ -93,8 +93,8 @@
 	std::string model;
 	bool failed{};
 
-	/// See `relative_answer_time` and, for event intervals, `relative_pace`.
-	double relative_time{};
+	/// See `relative_first_byte_latency` and, for event intervals, `relative_event_interval`.
+	double relative_latency{};
 
 	/// Hash of the replica's incarnation; the same on all VMs.
 	std::uint64_t replica{};
@@ -328,7 +328,7 @@
 
 		/// Event intervals of the stable version by model, recorded by this VM while no shift was running:
 		/// they show the speed of engines that are overloaded when a shift begins.
-		std::map<std::string, answer_times> baseline_event_intervals;
+		std::map<std::string, latency_histogram> baseline_event_intervals;
 
 		/// Observations of this VM, reports of the others, and the sum of all.
 		version_evidence own;
--- a/include/gingerdyke/rollout/version_verdict.hpp
+++ b/include/gingerdyke/rollout/version_verdict.hpp
@@ -3,7 +3,7 @@
 // observations summed over all VMs.
 #pragma once
 
-#include <gingerdyke/rollout/time_comparison.hpp>
+#include <gingerdyke/rollout/latency_comparison.hpp>
 #include <string>
 
 namespace gingerdyke::rollout
--- a/src/control/own_rows.cpp
+++ b/src/control/own_rows.cpp
@@ -50,17 +50,17 @@
 	return {counts_of(value.at("before")), cells_of(value.at("old")), cells_of(value.at("new"))};
 }
 
-rollout::answer_times times_of(const json& value)
+rollout::latency_histogram times_of(const json& value)
 {
-	rollout::answer_times times;
+	rollout::latency_histogram times;
 	for (std::size_t level = 0; level < value.size(); ++level)
 	{
-		times.set(level, value[level].get<std::uint32_t>());
+		times.set_count(level, value[level].get<std::uint32_t>());
 	}
 	return times;
 }
 
-json time_cells_json(const rollout::by_cell<rollout::answer_times>& seen)
+json time_cells_json(const rollout::by_cell<rollout::latency_histogram>& seen)
 {
 	json cells = json::array();
 	for (const auto& [cell, times] : seen)
@@ -70,9 +70,9 @@
 	return cells;
 }
 
-rollout::by_cell<rollout::answer_times> time_cells_of(const json& value)
+rollout::by_cell<rollout::latency_histogram> time_cells_of(const json& value)
 {
-	rollout::by_cell<rollout::answer_times> seen;
+	rollout::by_cell<rollout::latency_histogram> seen;
 	for (const auto& one : value)
 	{
 		seen[one.at(0).get<rollout::cell_index>()] += times_of(one.at(1));
@@ -80,7 +80,7 @@
 	return seen;
 }
 
-json models_json(const rollout::times_by_model& times)
+json models_json(const rollout::latencies_by_model& times)
 {
 	json models = json::array();
 	for (const auto& [model, seen] : times)
@@ -91,9 +91,9 @@
 	return models;
 }
 
-rollout::times_by_model models_of(const json& value)
+rollout::latencies_by_model models_of(const json& value)
 {
-	rollout::times_by_model times;
+	rollout::latencies_by_model times;
 	for (const auto& one : value)
 	{
 		times[one.at("model").get<std::string>()] = {times_of(one.at("usual")), times_of(one.at("before")),
@@ -175,7 +175,8 @@
 		routes.push_back(std::move(written));
 	}
 	return json{{"service", evidence.service.str()}, {"order", evidence.order.value()}, {"routes", routes},
-		{"models", models_json(evidence.seen.by_model)}, {"paces", models_json(evidence.seen.by_pace)},
+		{"models", models_json(evidence.seen.first_byte_by_model)},
+		{"paces", models_json(evidence.seen.event_intervals_by_model)},
 		{"late", route_json(evidence.seen.late)}}
 		.dump();
 }
@@ -193,8 +194,8 @@
 				evidence.seen.by_route[one.at("route").get<std::string>()] = route_of(one);
 			}
 			evidence.seen.late = route_of(value.at("late"));
-			evidence.seen.by_model = models_of(value.at("models"));
-			evidence.seen.by_pace = models_of(value.at("paces"));
+			evidence.seen.first_byte_by_model = models_of(value.at("models"));
+			evidence.seen.event_intervals_by_model = models_of(value.at("paces"));
 			return evidence;
 		});
 }
--- a/src/control/report_message.cpp
+++ b/src/control/report_message.cpp
@@ -85,7 +85,7 @@
 	return {read(message.before), read(message.old_version), read(message.new_version)};
 }
 
-std::vector<std::int32_t> written(const rollout::answer_times& times)
+std::vector<std::int32_t> written(const rollout::latency_histogram& times)
 {
 	std::vector<std::int32_t> counts{times.counts().begin(), times.counts().end()};
 	while (!counts.empty() && counts.back() == 0)
@@ -95,17 +95,17 @@
 	return counts;
 }
 
-rollout::answer_times read(const std::vector<std::int32_t>& counts)
+rollout::latency_histogram read(const std::vector<std::int32_t>& counts)
 {
-	rollout::answer_times times;
+	rollout::latency_histogram times;
 	for (std::size_t level = 0; level < counts.size(); ++level)
 	{
-		times.set(level, static_cast<std::uint32_t>(counts[level]));
+		times.set_count(level, static_cast<std::uint32_t>(counts[level]));
 	}
 	return times;
 }
 
-std::vector<wire::RelayCellTimes> written(const rollout::by_cell<rollout::answer_times>& seen)
+std::vector<wire::RelayCellTimes> written(const rollout::by_cell<rollout::latency_histogram>& seen)
 {
 	std::vector<wire::RelayCellTimes> all;
 	for (const auto& [cell, times] : seen)
@@ -117,9 +117,9 @@
 	return all;
 }
 
-rollout::by_cell<rollout::answer_times> read(const std::vector<wire::RelayCellTimes>& cells)
+rollout::by_cell<rollout::latency_histogram> read(const std::vector<wire::RelayCellTimes>& cells)
 {
-	rollout::by_cell<rollout::answer_times> seen;
+	rollout::by_cell<rollout::latency_histogram> seen;
 	for (const auto& one : cells)
 	{
 		seen[static_cast<rollout::cell_index>(one.cell)] += read(one.levels);
@@ -127,7 +127,7 @@
 	return seen;
 }
 
-std::vector<wire::RelayTimeEvidence> written(const rollout::times_by_model& times)
+std::vector<wire::RelayTimeEvidence> written(const rollout::latencies_by_model& times)
 {
 	std::vector<wire::RelayTimeEvidence> all;
 	for (const auto& [model, seen] : times)
@@ -142,9 +142,9 @@
 	return all;
 }
 
-rollout::times_by_model read(const std::vector<wire::RelayTimeEvidence>& times)
+rollout::latencies_by_model read(const std::vector<wire::RelayTimeEvidence>& times)
 {
-	rollout::times_by_model all;
+	rollout::latencies_by_model all;
 	for (const auto& one : times)
 	{
 		all[one.model] = {read(one.usual), read(one.before), read(one.old_version), read(one.new_version)};
@@ -162,8 +162,8 @@
 		message.routes.push_back(written(route, seen));
 	}
 	message.late = written({}, evidence.seen.late);
-	message.models = written(evidence.seen.by_model);
-	message.paces = written(evidence.seen.by_pace);
+	message.models = written(evidence.seen.first_byte_by_model);
+	message.paces = written(evidence.seen.event_intervals_by_model);
 	return message;
 }
 
@@ -175,8 +175,8 @@
 		evidence.seen.by_route[one.route] = read(one);
 	}
 	evidence.seen.late = read(message.late);
-	evidence.seen.by_model = read(message.models);
-	evidence.seen.by_pace = read(message.paces);
+	evidence.seen.first_byte_by_model = read(message.models);
+	evidence.seen.event_intervals_by_model = read(message.paces);
 	return evidence;
 }
 
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -144,7 +144,7 @@
 	rollout::response_sample sample;
 	sample.route = route_->id.str();
 	sample.model = route_->models.empty() ? std::string{} : route_->models[attempt_->size.index].str();
-	sample.relative_time = rollout::relative_answer_time(took, prompt_.tokens_in);
+	sample.relative_latency = rollout::relative_first_byte_latency(took, prompt_.tokens_in);
 	sample.replica = routing::process_hash(to);
 	return sample;
 }
@@ -285,8 +285,8 @@
 	if (between_events)
 	{
 		auto sample = sample_of(duration{0});
-		sample.kind = rollout::sample_kind::pace;
-		sample.relative_time = rollout::relative_pace(*between_events);
+		sample.kind = rollout::sample_kind::event_interval;
+		sample.relative_latency = rollout::relative_event_interval(*between_events);
 		shared_.note_answer(*attempt_->to, sample);
 	}
 }
@@ -423,7 +423,7 @@
 	if (attempt_->first_byte == duration{0})
 	{
 		auto sample = sample_of(steady_now() - attempt_->sent_at);
-		sample.kind = rollout::sample_kind::silence;
+		sample.kind = rollout::sample_kind::no_response;
 		shared_.note_answer(*attempt_->to, sample);
 	}
 	note_pace(attempt_->pace.note_given_up(steady_now()));
--- a/src/rollout/time_comparison.cpp
+++ b/src/rollout/latency_comparison.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <boost/math/distributions/binomial.hpp>
 #include <cmath>
-#include <gingerdyke/rollout/time_comparison.hpp>
+#include <gingerdyke/rollout/latency_comparison.hpp>
 #include <initializer_list>
 #include <optional>
 
@@ -21,12 +21,12 @@
 /// their own.
 constexpr double unexplained_ratio = 0.05;
 
-using bucket_fractions = std::array<double, answer_times::bucket_count>;
+using bucket_fractions = std::array<double, latency_histogram::bucket_count>;
 
 /// The lowest of the old version's latencies at a quantile, over the given periods: the others may be raised
 /// by a temporary disturbance. None if no period has enough responses.
 std::optional<double> lowest_quantile(
-	std::initializer_list<const answer_times*> periods, double fraction, const latency_tuning& tuning)
+	std::initializer_list<const latency_histogram*> periods, double fraction, const latency_tuning& tuning)
 {
 	std::optional<double> lowest;
 	for (const auto* latencies : periods)
@@ -41,14 +41,15 @@
 }
 
 std::optional<double> fast_limit(
-	const answer_times& before, const answer_times& during_trial, const latency_tuning& tuning)
+	const latency_histogram& before, const latency_histogram& during_trial, const latency_tuning& tuning)
 {
 	const auto latency = lowest_quantile({&before, &during_trial}, tuning.fast_quantile, tuning);
 	return latency ? std::optional{*latency * tuning.fast_factor} : std::nullopt;
 }
 
 /// Adds the number of responses of a model per cell, and how many of them are slow.
-void add_slow(by_cell<response_counts>& target, const by_cell<answer_times>& seen, double fast_limit_latency)
+void add_slow(
+	by_cell<response_counts>& target, const by_cell<latency_histogram>& seen, double fast_limit_latency)
 {
 	for (const auto& [cell, latencies] : seen)
 	{
@@ -60,8 +61,8 @@
 }
 
 /// The cells with the fewest slow responses of a version, over all models.
-cell_set fast_cells(const times_by_model& seen, const std::map<std::string, double>& limits,
-	by_cell<answer_times> time_evidence::*version)
+cell_set fast_cells(const latencies_by_model& seen, const std::map<std::string, double>& limits,
+	by_cell<latency_histogram> latency_evidence::*version)
 {
 	by_cell<response_counts> slow;
 	for (const auto& [model, limit] : limits)
@@ -71,7 +72,7 @@
 	return healthy_cells(slow);
 }
 
-bucket_fractions smoothed_fractions(const answer_times& latencies)
+bucket_fractions smoothed_fractions(const latency_histogram& latencies)
 {
 	// Smooths over adjacent buckets, since few responses leave gaps.
 	constexpr double smoothing = 0.5;
@@ -93,9 +94,9 @@
 }
 
 /// Log-likelihood of latencies under the old version's distribution moved by `offset` buckets.
-double log_likelihood(const answer_times& responses, const bucket_fractions& old_fractions, int offset)
+double log_likelihood(const latency_histogram& responses, const bucket_fractions& old_fractions, int offset)
 {
-	constexpr int highest = static_cast<int>(answer_times::bucket_count) - 1;
+	constexpr int highest = static_cast<int>(latency_histogram::bucket_count) - 1;
 	bucket_fractions moved{};
 	for (int bucket = 0; bucket <= highest; ++bucket)
 	{
@@ -137,7 +138,8 @@
 }
 } // namespace
 
-std::vector<latency_comparison> compare_latencies(const times_by_model& seen, const latency_tuning& tuning)
+std::vector<latency_comparison> compare_latencies(
+	const latencies_by_model& seen, const latency_tuning& tuning)
 {
 	std::map<std::string, double> limits;
 	for (const auto& [model, evidence] : seen)
@@ -147,13 +149,13 @@
 			limits[model] = *limit;
 		}
 	}
-	const auto healthy_old = fast_cells(seen, limits, &time_evidence::old_version);
+	const auto healthy_old = fast_cells(seen, limits, &latency_evidence::old_version);
 	for (auto& [model, limit] : limits)
 	{
 		const auto& evidence = seen.at(model);
 		limit = fast_limit(evidence.before, evidence.old_version.sum(healthy_old), tuning).value_or(limit);
 	}
-	const auto healthy_new = fast_cells(seen, limits, &time_evidence::new_version);
+	const auto healthy_new = fast_cells(seen, limits, &latency_evidence::new_version);
 	std::vector<latency_comparison> compared;
 	for (const auto& [model, limit] : limits)
 	{
--- a/src/rollout/answer_times.cpp
+++ b/src/rollout/latency_histogram.cpp
@@ -2,7 +2,7 @@
 // A histogram of relative latencies that can be summed over VMs.
 #include <algorithm>
 #include <cmath>
-#include <gingerdyke/rollout/answer_times.hpp>
+#include <gingerdyke/rollout/latency_histogram.hpp>
 #include <numeric>
 
 namespace gingerdyke::rollout
@@ -14,14 +14,14 @@
 constexpr double buckets_per_octave = 2;
 
 /// Position of a latency on the bucket scale; 0 is the lower end of the lowest bucket.
-double bucket_position(double relative_time) noexcept
+double bucket_position(double relative_latency) noexcept
 {
-	constexpr double highest = static_cast<double>(answer_times::bucket_count);
-	if (relative_time <= 0)
+	constexpr double highest = static_cast<double>(latency_histogram::bucket_count);
+	if (relative_latency <= 0)
 	{
 		return 0;
 	}
-	const auto position = std::log2(relative_time / lowest_upper_bound) * buckets_per_octave + 1;
+	const auto position = std::log2(relative_latency / lowest_upper_bound) * buckets_per_octave + 1;
 	return std::clamp(position, 0.0, highest);
 }
 
@@ -31,18 +31,18 @@
 }
 } // namespace
 
-void answer_times::note(double relative_time) noexcept
+void latency_histogram::record(double relative_latency) noexcept
 {
-	const auto bucket = static_cast<std::size_t>(bucket_position(relative_time));
+	const auto bucket = static_cast<std::size_t>(bucket_position(relative_latency));
 	++counts_[std::min(bucket, bucket_count - 1)];
 }
 
-std::uint64_t answer_times::size() const noexcept
+std::uint64_t latency_histogram::size() const noexcept
 {
 	return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
 
-double answer_times::quantile(double fraction) const noexcept
+double latency_histogram::quantile(double fraction) const noexcept
 {
 	const auto target_rank = fraction * static_cast<double>(size());
 	double below = 0;
@@ -58,14 +58,14 @@
 	return 0;
 }
 
-double answer_times::fraction_within(double relative_time) const noexcept
+double latency_histogram::fraction_within(double relative_latency) const noexcept
 {
 	const auto total = static_cast<double>(size());
 	if (total <= 0)
 	{
 		return 0;
 	}
-	const auto position = bucket_position(relative_time);
+	const auto position = bucket_position(relative_latency);
 	double within = 0;
 	for (std::size_t bucket = 0; bucket < bucket_count; ++bucket)
 	{
@@ -75,7 +75,7 @@
 	return within / total;
 }
 
-answer_times& answer_times::operator+=(const answer_times& other) noexcept
+latency_histogram& latency_histogram::operator+=(const latency_histogram& other) noexcept
 {
 	for (std::size_t bucket = 0; bucket < bucket_count; ++bucket)
 	{
@@ -84,7 +84,7 @@
 	return *this;
 }
 
-answer_times& answer_times::operator-=(const answer_times& other) noexcept
+latency_histogram& latency_histogram::operator-=(const latency_histogram& other) noexcept
 {
 	for (std::size_t bucket = 0; bucket < bucket_count; ++bucket)
 	{
@@ -93,7 +93,7 @@
 	return *this;
 }
 
-void answer_times::set(std::size_t bucket, std::uint32_t count) noexcept
+void latency_histogram::set_count(std::size_t bucket, std::uint32_t count) noexcept
 {
 	if (bucket < bucket_count)
 	{
--- a/src/rollout/answer_cells.cpp
+++ b/src/rollout/response_cells.cpp
@@ -2,7 +2,7 @@
 // Response counts by group of replicas.
 #include <algorithm>
 #include <array>
-#include <gingerdyke/rollout/answer_cells.hpp>
+#include <gingerdyke/rollout/response_cells.hpp>
 #include <numeric>
 
 namespace gingerdyke::rollout
--- a/src/rollout/version_evidence.cpp
+++ b/src/rollout/version_evidence.cpp
@@ -7,7 +7,7 @@
 {
 namespace
 {
-void add(times_by_model& to, const times_by_model& other)
+void add(latencies_by_model& to, const latencies_by_model& other)
 {
 	for (const auto& [model, seen] : other)
 	{
@@ -15,7 +15,7 @@
 	}
 }
 
-void subtract(times_by_model& from, const times_by_model& other)
+void subtract(latencies_by_model& from, const latencies_by_model& other)
 {
 	for (const auto& [model, seen] : other)
 	{
@@ -23,7 +23,7 @@
 	}
 }
 
-std::uint64_t size_of(const times_by_model& times)
+std::uint64_t size_of(const latencies_by_model& times)
 {
 	std::uint64_t sum = 0;
 	for (const auto& [model, seen] : times)
@@ -38,14 +38,14 @@
 // The constants for idle engines give the order of magnitude for typical engines; precision is not needed,
 // since only ratios of two versions are compared.
 
-double relative_answer_time(duration took, double prompt_tokens) noexcept
+double relative_first_byte_latency(duration took, double prompt_tokens) noexcept
 {
 	constexpr double idle_ms = 20;
 	constexpr double tokens_per_ms = 50;
 	return to_milliseconds(took) / (idle_ms + prompt_tokens / tokens_per_ms);
 }
 
-double relative_pace(duration between_events) noexcept
+double relative_event_interval(duration between_events) noexcept
 {
 	constexpr double idle_ms = 20;
 	return to_milliseconds(between_events) / idle_ms;
@@ -67,7 +67,7 @@
 	return *this;
 }
 
-time_evidence& time_evidence::operator+=(const time_evidence& other)
+latency_evidence& latency_evidence::operator+=(const latency_evidence& other)
 {
 	usual += other.usual;
 	before += other.before;
@@ -76,7 +76,7 @@
 	return *this;
 }
 
-time_evidence& time_evidence::operator-=(const time_evidence& other)
+latency_evidence& latency_evidence::operator-=(const latency_evidence& other)
 {
 	usual -= other.usual;
 	before -= other.before;
@@ -91,8 +91,8 @@
 	{
 		by_route[route] += seen;
 	}
-	add(by_model, other.by_model);
-	add(by_pace, other.by_pace);
+	add(first_byte_by_model, other.first_byte_by_model);
+	add(event_intervals_by_model, other.event_intervals_by_model);
 	late += other.late;
 	return *this;
 }
@@ -103,8 +103,8 @@
 	{
 		by_route[route] -= seen;
 	}
-	subtract(by_model, other.by_model);
-	subtract(by_pace, other.by_pace);
+	subtract(first_byte_by_model, other.first_byte_by_model);
+	subtract(event_intervals_by_model, other.event_intervals_by_model);
 	late -= other.late;
 	return *this;
 }
@@ -129,6 +129,6 @@
 	const auto all = all_routes();
 	const auto responses =
 		all.before.responses + all.old_version.sum().responses + all.new_version.sum().responses;
-	return responses + size_of(by_model) + size_of(by_pace);
+	return responses + size_of(first_byte_by_model) + size_of(event_intervals_by_model);
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/version_shift_evidence.cpp
+++ b/src/rollout/version_shift_evidence.cpp
@@ -19,9 +19,10 @@
 	return sample.model.empty() ? sample.route : sample.model;
 }
 
-time_evidence& latencies_of(version_evidence& seen, const response_sample& sample)
+latency_evidence& latencies_of(version_evidence& seen, const response_sample& sample)
 {
-	auto& times = sample.kind == sample_kind::pace ? seen.by_pace : seen.by_model;
+	auto& times =
+		sample.kind == sample_kind::event_interval ? seen.event_intervals_by_model : seen.first_byte_by_model;
 	return times[latency_key(sample)];
 }
 
@@ -162,9 +163,9 @@
 
 void version_shift::record_baseline(service_state& state, const response_sample& sample)
 {
-	if (sample.kind == sample_kind::pace)
+	if (sample.kind == sample_kind::event_interval)
 	{
-		state.baseline_event_intervals[latency_key(sample)].note(sample.relative_time);
+		state.baseline_event_intervals[latency_key(sample)].record(sample.relative_latency);
 	}
 }
 
@@ -174,7 +175,7 @@
 	{
 		add_outcome(sample, to.by_route[sample.route].before);
 	}
-	latencies_of(to, sample).before.note(sample.relative_time);
+	latencies_of(to, sample).before.record(sample.relative_latency);
 }
 
 bool version_shift::is_control(const service_state& state, std::uint64_t replica) const
@@ -221,7 +222,7 @@
 		if (!is_ramping_up && !is_peak_load)
 		{
 			auto& times = latencies_of(*to, sample);
-			(is_new ? times.new_version : times.old_version)[cell].note(sample.relative_time);
+			(is_new ? times.new_version : times.old_version)[cell].record(sample.relative_latency);
 		}
 	}
 }
--- a/src/rollout/version_verdict.cpp
+++ b/src/rollout/version_verdict.cpp
@@ -249,8 +249,8 @@
 {
 	compared_evidence(const version_evidence& of, const verdict_tuning& tuning)
 		: seen(of), all_routes(of.all_routes()), healthy(all_routes),
-		  latencies(compare_latencies(of.by_model, tuning.latencies)),
-		  event_intervals(compare_latencies(of.by_pace, tuning.latencies))
+		  latencies(compare_latencies(of.first_byte_by_model, tuning.latencies)),
+		  event_intervals(compare_latencies(of.event_intervals_by_model, tuning.latencies))
 	{
 	}
 
--- a/tests/control/peer_report.cpp
+++ b/tests/control/peer_report.cpp
@@ -74,11 +74,11 @@
 	seen.seen.by_route["r"].before = {70, 2};
 	seen.seen.by_route["r"].old_version[30] = {50, 1};
 	seen.seen.by_route["r"].new_version[3] = {9, 2};
-	seen.seen.by_model["m"].before.note(1);
-	seen.seen.by_model["m"].old_version[31].note(2);
-	seen.seen.by_model["m"].new_version[0].note(8);
-	seen.seen.by_pace["m"].usual.note(0.8);
-	seen.seen.by_pace["m"].new_version[5].note(3);
+	seen.seen.first_byte_by_model["m"].before.record(1);
+	seen.seen.first_byte_by_model["m"].old_version[31].record(2);
+	seen.seen.first_byte_by_model["m"].new_version[0].record(8);
+	seen.seen.event_intervals_by_model["m"].usual.record(0.8);
+	seen.seen.event_intervals_by_model["m"].new_version[5].record(3);
 	seen.seen.late.new_version[1] = {4, 1};
 	const rollout::shift_suspension verdict{service_id{"s"}, row_version{12}};
 	const peer_report report{"me", {{replica_id{"r1"}, 40}}, {seen}, {verdict}, {suspect("seen")},
--- a/tests/rollout/answer_times.cpp
+++ b/tests/rollout/latency_histogram.cpp
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: MIT
 // Histograms of relative latencies.
 #include <catch2/catch.hpp>
-#include <gingerdyke/rollout/answer_times.hpp>
+#include <gingerdyke/rollout/latency_histogram.hpp>
 
-using gingerdyke::rollout::answer_times;
+using gingerdyke::rollout::latency_histogram;
 
 TEST_CASE("quantile and fraction_within are inverse to each other, also inside a bucket", "[answer-times]")
 {
-	answer_times times;
+	latency_histogram times;
 	for (int i = 1; i <= 1000; ++i)
 	{
-		times.note(0.2 + i * 0.004);
+		times.record(0.2 + i * 0.004);
 	}
 	CHECK(times.size() == 1000);
 	for (const auto fraction : {0.1, 0.25, 0.5, 0.9})
@@ -23,24 +23,24 @@
 
 TEST_CASE("latencies out of range are counted in the outermost buckets", "[answer-times]")
 {
-	answer_times times;
-	times.note(0);
-	times.note(-1);
-	times.note(1e9);
+	latency_histogram times;
+	times.record(0);
+	times.record(-1);
+	times.record(1e9);
 	CHECK(times.size() == 3);
 	CHECK(times.counts().front() == 2);
 	CHECK(times.counts().back() == 1);
-	CHECK(answer_times{}.quantile(0.5) == 0);
-	CHECK(answer_times{}.fraction_within(1) == 0);
+	CHECK(latency_histogram{}.quantile(0.5) == 0);
+	CHECK(latency_histogram{}.fraction_within(1) == 0);
 }
 
 TEST_CASE("counts of several VMs can be added and subtracted again", "[answer-times]")
 {
-	answer_times first;
-	answer_times second;
-	first.note(1);
-	second.note(1);
-	second.note(5);
+	latency_histogram first;
+	latency_histogram second;
+	first.record(1);
+	second.record(1);
+	second.record(5);
 	auto sum = first;
 	sum += second;
 	CHECK(sum.size() == 3);
--- a/tests/rollout/version_verdict.cpp
+++ b/tests/rollout/version_verdict.cpp
@@ -35,11 +35,11 @@
 
 /// Records `count` latencies, cycling through all cells.
 template <typename Latency>
-void record_each(by_cell<answer_times>& to, unsigned count, const Latency& latency)
+void record_each(by_cell<latency_histogram>& to, unsigned count, const Latency& latency)
 {
 	for (unsigned i = 0; i < count; ++i)
 	{
-		to[i % cell_count].note(latency(i));
+		to[i % cell_count].record(latency(i));
 	}
 }
 
@@ -51,12 +51,12 @@
 }
 
 /// Latencies of an old version before and during the trial.
-time_evidence of_old_version(unsigned before, unsigned during_trial)
+latency_evidence of_old_version(unsigned before, unsigned during_trial)
 {
-	time_evidence seen;
+	latency_evidence seen;
 	for (unsigned i = 0; i < before; ++i)
 	{
-		seen.before.note(old_latency(i));
+		seen.before.record(old_latency(i));
 	}
 	record_each(seen.old_version, during_trial, old_latency);
 	return seen;
@@ -140,9 +140,9 @@
 	version_evidence seen;
 	for (const auto* model : {"small", "large"})
 	{
-		seen.by_model[model] = of_old_version(300, 100);
+		seen.first_byte_by_model[model] = of_old_version(300, 100);
 	}
-	record_each(seen.by_model["small"].new_version, 60, [](unsigned i) { return 1.3 + 0.05 * i; });
+	record_each(seen.first_byte_by_model["small"].new_version, 60, [](unsigned i) { return 1.3 + 0.05 * i; });
 	CHECK(is_bad(seen));
 	CHECK(judge(seen, tuning).ground == verdict_reason::latency);
 }
@@ -150,7 +150,7 @@
 TEST_CASE("cold caches do not count as a slow version", "[version-verdict]")
 {
 	version_evidence seen;
-	auto& latencies = seen.by_model["m"];
+	auto& latencies = seen.first_byte_by_model["m"];
 	latencies = of_old_version(300, 100);
 	record_each(latencies.new_version, 200, [](unsigned i) { return 0.7 + 0.001 * i; });
 	CHECK_FALSE(is_bad(seen));
@@ -159,7 +159,7 @@
 TEST_CASE("a burst that slows both versions is not attributed to the new one", "[version-verdict]")
 {
 	version_evidence seen;
-	auto& latencies = seen.by_model["m"];
+	auto& latencies = seen.first_byte_by_model["m"];
 	latencies = of_old_version(300, 0);
 	record_each(latencies.old_version, 100, [](unsigned i) { return 2 + 0.1 * i; });
 	record_each(latencies.new_version, 100, [](unsigned i) { return 2 + 0.1 * i; });
@@ -169,10 +169,10 @@
 TEST_CASE("a burst before the trial does not hide that the new version is slow", "[version-verdict]")
 {
 	version_evidence seen;
-	auto& latencies = seen.by_model["m"];
+	auto& latencies = seen.first_byte_by_model["m"];
 	for (unsigned i = 0; i < 300; ++i)
 	{
-		latencies.before.note(3 + 0.05 * i);
+		latencies.before.record(3 + 0.05 * i);
 	}
 	record_each(latencies.old_version, 100, old_latency);
 	record_each(latencies.new_version, 80, [](unsigned i) { return 1.5 + 0.01 * i; });
@@ -182,7 +182,7 @@
 TEST_CASE("a share of engines that are slow for a reason of their own is tolerated", "[version-verdict]")
 {
 	version_evidence seen;
-	auto& latencies = seen.by_model["m"];
+	auto& latencies = seen.first_byte_by_model["m"];
 	latencies = of_old_version(300, 100);
 	record_each(
 		latencies.new_version, 100, [](unsigned i) { return (0.5 + 0.002 * i) * (i % 3 == 0 ? 5 : 1); });
@@ -192,7 +192,7 @@
 TEST_CASE("too few responses of the old version are no basis for a comparison", "[version-verdict]")
 {
 	version_evidence seen;
-	auto& latencies = seen.by_model["m"];
+	auto& latencies = seen.first_byte_by_model["m"];
 	latencies = of_old_version(10, 0);
 	record_each(latencies.new_version, 100, [](unsigned) { return 20; });
 	CHECK_FALSE(is_bad(seen));
--- a/tests/support/shift_vm.hpp
+++ b/tests/support/shift_vm.hpp
@@ -37,11 +37,11 @@
 	}
 
 	/// Answers of a version: failures in a fixed pattern.
-	void see(const std::string& version, unsigned count, unsigned failures, double relative_time = 1)
+	void see(const std::string& version, unsigned count, unsigned failures, double relative_latency = 1)
 	{
 		for (unsigned i = 0; i < count; ++i)
 		{
-			shift.record_response(service, version, {"route", "model", i < failures, relative_time}, now);
+			shift.record_response(service, version, {"route", "model", i < failures, relative_latency}, now);
 		}
 	}
 
