--- a/include/gingerdyke/rollout/version_evidence.hpp
+++ b/include/gingerdyke/rollout/version_evidence.hpp
@@ -24,7 +24,7 @@
 struct route_evidence
 {
 	/// Responses of the old version from the order until the new version gets its first requests.
-	response_counts before;
+	response_counts pre_trial;
 
 	/// Responses of the old version's control replicas during the trial, exposed to the same disturbances as
 	/// the new version's.
@@ -40,10 +40,10 @@
 struct latency_evidence
 {
 	/// Latencies of the old version before the order; recorded for event intervals only.
-	latency_histogram usual;
+	latency_histogram baseline;
 
 	/// See `route_evidence`.
-	latency_histogram before;
+	latency_histogram pre_trial;
 	by_cell<latency_histogram> old_version;
 	by_cell<latency_histogram> new_version;
 
@@ -67,7 +67,7 @@
 	/// Failures on all routes in the peak-load phase of the trial, also contained in `by_route`. A version
 	/// may become bad late, or only under peak load, which its replicas carry in this phase if there are
 	/// enough of them.
-	route_evidence late;
+	route_evidence peak_load_phase;
 
 	/// \brief Adds the observations of another VM.
 	version_evidence& operator+=(const version_evidence& other);
--- a/src/control/own_rows.cpp
+++ b/src/control/own_rows.cpp
@@ -41,7 +41,7 @@
 
 json route_json(const rollout::route_evidence& seen)
 {
-	return {{"before", counts_json(seen.before)}, {"old", cells_json(seen.old_version)},
+	return {{"before", counts_json(seen.pre_trial)}, {"old", cells_json(seen.old_version)},
 		{"new", cells_json(seen.new_version)}};
 }
 
@@ -85,8 +85,9 @@
 	json models = json::array();
 	for (const auto& [model, seen] : times)
 	{
-		models.push_back({{"model", model}, {"usual", seen.usual.counts()}, {"before", seen.before.counts()},
-			{"old", time_cells_json(seen.old_version)}, {"new", time_cells_json(seen.new_version)}});
+		models.push_back(
+			{{"model", model}, {"usual", seen.baseline.counts()}, {"before", seen.pre_trial.counts()},
+				{"old", time_cells_json(seen.old_version)}, {"new", time_cells_json(seen.new_version)}});
 	}
 	return models;
 }
@@ -177,7 +178,7 @@
 	return json{{"service", evidence.service.str()}, {"order", evidence.order.value()}, {"routes", routes},
 		{"models", models_json(evidence.seen.first_byte_by_model)},
 		{"paces", models_json(evidence.seen.event_intervals_by_model)},
-		{"late", route_json(evidence.seen.late)}}
+		{"late", route_json(evidence.seen.peak_load_phase)}}
 		.dump();
 }
 
@@ -193,7 +194,7 @@
 			{
 				evidence.seen.by_route[one.at("route").get<std::string>()] = route_of(one);
 			}
-			evidence.seen.late = route_of(value.at("late"));
+			evidence.seen.peak_load_phase = route_of(value.at("late"));
 			evidence.seen.first_byte_by_model = models_of(value.at("models"));
 			evidence.seen.event_intervals_by_model = models_of(value.at("paces"));
 			return evidence;
--- a/src/control/report_message.cpp
+++ b/src/control/report_message.cpp
@@ -74,7 +74,7 @@
 {
 	wire::RelayRouteEvidence message;
 	message.route = route;
-	message.before = written(seen.before);
+	message.before = written(seen.pre_trial);
 	message.old_version = written(seen.old_version);
 	message.new_version = written(seen.new_version);
 	return message;
@@ -134,8 +134,8 @@
 	{
 		auto& added = all.emplace_back();
 		added.model = model;
-		added.usual = written(seen.usual);
-		added.before = written(seen.before);
+		added.usual = written(seen.baseline);
+		added.before = written(seen.pre_trial);
 		added.old_version = written(seen.old_version);
 		added.new_version = written(seen.new_version);
 	}
@@ -161,7 +161,7 @@
 	{
 		message.routes.push_back(written(route, seen));
 	}
-	message.late = written({}, evidence.seen.late);
+	message.late = written({}, evidence.seen.peak_load_phase);
 	message.models = written(evidence.seen.first_byte_by_model);
 	message.paces = written(evidence.seen.event_intervals_by_model);
 	return message;
@@ -174,7 +174,7 @@
 	{
 		evidence.seen.by_route[one.route] = read(one);
 	}
-	evidence.seen.late = read(message.late);
+	evidence.seen.peak_load_phase = read(message.late);
 	evidence.seen.first_byte_by_model = read(message.models);
 	evidence.seen.event_intervals_by_model = read(message.paces);
 	return evidence;
--- a/src/rollout/latency_comparison.cpp
+++ b/src/rollout/latency_comparison.cpp
@@ -41,9 +41,9 @@
 }
 
 std::optional<double> fast_limit(
-	const latency_histogram& before, const latency_histogram& during_trial, const latency_tuning& tuning)
+	const latency_histogram& pre_trial, const latency_histogram& during_trial, const latency_tuning& tuning)
 {
-	const auto latency = lowest_quantile({&before, &during_trial}, tuning.fast_quantile, tuning);
+	const auto latency = lowest_quantile({&pre_trial, &during_trial}, tuning.fast_quantile, tuning);
 	return latency ? std::optional{*latency * tuning.fast_factor} : std::nullopt;
 }
 
@@ -144,7 +144,7 @@
 	std::map<std::string, double> limits;
 	for (const auto& [model, evidence] : seen)
 	{
-		if (const auto limit = fast_limit(evidence.before, evidence.old_version.sum(), tuning))
+		if (const auto limit = fast_limit(evidence.pre_trial, evidence.old_version.sum(), tuning))
 		{
 			limits[model] = *limit;
 		}
@@ -153,7 +153,7 @@
 	for (auto& [model, limit] : limits)
 	{
 		const auto& evidence = seen.at(model);
-		limit = fast_limit(evidence.before, evidence.old_version.sum(healthy_old), tuning).value_or(limit);
+		limit = fast_limit(evidence.pre_trial, evidence.old_version.sum(healthy_old), tuning).value_or(limit);
 	}
 	const auto healthy_new = fast_cells(seen, limits, &latency_evidence::new_version);
 	std::vector<latency_comparison> compared;
@@ -163,9 +163,9 @@
 		const auto during_trial = evidence.old_version.sum(healthy_old);
 		const bool has_enough = during_trial.size() >= tuning.min_old_responses;
 		const auto fastest = lowest_quantile(
-			{&evidence.usual, &evidence.before, &during_trial}, tuning.fastest_quantile, tuning);
+			{&evidence.baseline, &evidence.pre_trial, &during_trial}, tuning.fastest_quantile, tuning);
 		compared.push_back(
-			{model, has_enough ? during_trial : evidence.before, evidence.new_version.sum(healthy_new),
+			{model, has_enough ? during_trial : evidence.pre_trial, evidence.new_version.sum(healthy_new),
 				evidence.new_version.sum(), limit, fastest.value_or(limit)});
 	}
 	return compared;
--- a/src/rollout/version_evidence.cpp
+++ b/src/rollout/version_evidence.cpp
@@ -28,7 +28,7 @@
 	std::uint64_t sum = 0;
 	for (const auto& [model, seen] : times)
 	{
-		sum += seen.usual.size() + seen.before.size() + seen.old_version.sum().size() +
+		sum += seen.baseline.size() + seen.pre_trial.size() + seen.old_version.sum().size() +
 			   seen.new_version.sum().size();
 	}
 	return sum;
@@ -53,7 +53,7 @@
 
 route_evidence& route_evidence::operator+=(const route_evidence& other)
 {
-	before += other.before;
+	pre_trial += other.pre_trial;
 	old_version += other.old_version;
 	new_version += other.new_version;
 	return *this;
@@ -61,7 +61,7 @@
 
 route_evidence& route_evidence::operator-=(const route_evidence& other)
 {
-	before -= other.before;
+	pre_trial -= other.pre_trial;
 	old_version -= other.old_version;
 	new_version -= other.new_version;
 	return *this;
@@ -69,8 +69,8 @@
 
 latency_evidence& latency_evidence::operator+=(const latency_evidence& other)
 {
-	usual += other.usual;
-	before += other.before;
+	baseline += other.baseline;
+	pre_trial += other.pre_trial;
 	old_version += other.old_version;
 	new_version += other.new_version;
 	return *this;
@@ -78,8 +78,8 @@
 
 latency_evidence& latency_evidence::operator-=(const latency_evidence& other)
 {
-	usual -= other.usual;
-	before -= other.before;
+	baseline -= other.baseline;
+	pre_trial -= other.pre_trial;
 	old_version -= other.old_version;
 	new_version -= other.new_version;
 	return *this;
@@ -93,7 +93,7 @@
 	}
 	add(first_byte_by_model, other.first_byte_by_model);
 	add(event_intervals_by_model, other.event_intervals_by_model);
-	late += other.late;
+	peak_load_phase += other.peak_load_phase;
 	return *this;
 }
 
@@ -105,7 +105,7 @@
 	}
 	subtract(first_byte_by_model, other.first_byte_by_model);
 	subtract(event_intervals_by_model, other.event_intervals_by_model);
-	late -= other.late;
+	peak_load_phase -= other.peak_load_phase;
 	return *this;
 }
 
@@ -128,7 +128,7 @@
 {
 	const auto all = all_routes();
 	const auto responses =
-		all.before.responses + all.old_version.sum().responses + all.new_version.sum().responses;
+		all.pre_trial.responses + all.old_version.sum().responses + all.new_version.sum().responses;
 	return responses + size_of(first_byte_by_model) + size_of(event_intervals_by_model);
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/version_shift.cpp
+++ b/src/rollout/version_shift.cpp
@@ -97,7 +97,7 @@
 		state.own = {};
 		for (const auto& [model, intervals] : state.baseline_event_intervals)
 		{
-			state.own.event_intervals_by_model[model].usual = intervals;
+			state.own.event_intervals_by_model[model].baseline = intervals;
 		}
 		state.total = state.own;
 		state.to_write = state.own;
--- a/src/rollout/version_shift_evidence.cpp
+++ b/src/rollout/version_shift_evidence.cpp
@@ -67,19 +67,19 @@
 	{
 		return false;
 	}
-	auto& before = state.by_reporter[reporter];
-	if (evidence.seen.size() <= before.size())
+	auto& previous = state.by_reporter[reporter];
+	if (evidence.seen.size() <= previous.size())
 	{
 		return false;
 	}
-	state.total -= before;
+	state.total -= previous;
 	state.total += evidence.seen;
 	if (state.relayed.contains(reporter))
 	{
-		state.to_write -= before;
+		state.to_write -= previous;
 		state.to_write += evidence.seen;
 	}
-	before = evidence.seen;
+	previous = evidence.seen;
 	return true;
 }
 
@@ -173,9 +173,9 @@
 {
 	if (sample.kind == sample_kind::sample)
 	{
-		add_outcome(sample, to.by_route[sample.route].before);
+		add_outcome(sample, to.by_route[sample.route].pre_trial);
 	}
-	latencies_of(to, sample).before.record(sample.relative_latency);
+	latencies_of(to, sample).pre_trial.record(sample.relative_latency);
 }
 
 bool version_shift::is_control(const service_state& state, std::uint64_t replica) const
@@ -216,7 +216,7 @@
 			note_outcome(to->by_route[sample.route], is_new, cell, sample);
 			if (is_peak_load_phase)
 			{
-				note_outcome(to->late, is_new, cell, sample);
+				note_outcome(to->peak_load_phase, is_new, cell, sample);
 			}
 		}
 		if (!is_ramping_up && !is_peak_load)
--- a/src/rollout/version_verdict.cpp
+++ b/src/rollout/version_verdict.cpp
@@ -35,12 +35,12 @@
 {
 	const auto during_trial = seen.old_version.sum(healthy.of_old);
 	return during_trial.responses >= tuning.latencies.min_old_responses ? during_trial.bad_ratio()
-																		: seen.before.bad_ratio();
+																		: seen.pre_trial.bad_ratio();
 }
 
 double overall_old_failure_ratio(const route_evidence& seen)
 {
-	auto all = seen.before;
+	auto all = seen.pre_trial;
 	all += seen.old_version.sum();
 	return all.bad_ratio();
 }
@@ -73,11 +73,11 @@
 	// Smoothing for groups with few responses: the overall ratio counts as this many responses.
 	constexpr double smoothing_responses = 2;
 	auto before = all.new_version;
-	before -= seen.late.new_version;
+	before -= seen.peak_load_phase.new_version;
 	const auto overall_ratio = before.sum().bad_ratio();
 	double expected = 0;
 	double responses = 0;
-	for (const auto& [cell, counts] : seen.late.new_version)
+	for (const auto& [cell, counts] : seen.peak_load_phase.new_version)
 	{
 		const auto* found = before.find(cell);
 		const auto group_counts = found == nullptr ? response_counts{} : *found;
@@ -92,10 +92,10 @@
 version_verdict judge_peak_load(const version_evidence& seen, const route_evidence& all,
 	const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
-	const auto reference_ratio = std::max(
-		healthy_old_failure_ratio(seen.late, healthy, tuning), failure_ratio_before_peak_load(seen, all));
+	const auto reference_ratio = std::max(healthy_old_failure_ratio(seen.peak_load_phase, healthy, tuning),
+		failure_ratio_before_peak_load(seen, all));
 	const auto tolerated = tuning.tolerated_peak_load + tuning.tolerated_factor * reference_ratio;
-	return judge_failures({}, seen.late.new_version.sum(), tolerated, tuning);
+	return judge_failures({}, seen.peak_load_phase.new_version.sum(), tolerated, tuning);
 }
 
 version_verdict judge_overall(const route_evidence& all, const verdict_tuning& tuning)
@@ -218,7 +218,7 @@
 {
 	const auto is_doubtful_route = [&](const auto& entry)
 	{ return is_doubtful(entry.second, healthy, tuning); };
-	return is_doubtful(seen.late, healthy, tuning) ||
+	return is_doubtful(seen.peak_load_phase, healthy, tuning) ||
 		   std::any_of(seen.by_route.begin(), seen.by_route.end(), is_doubtful_route);
 }
 
--- a/tests/control/peer_report.cpp
+++ b/tests/control/peer_report.cpp
@@ -71,15 +71,15 @@
 	const auto client = std::make_shared<relay_client>(
 		context, make_peer("other", "a", port), [&](const peer_summary& one) { summary = one; });
 	rollout::shift_evidence seen{service_id{"s"}, row_version{12}, {}};
-	seen.seen.by_route["r"].before = {70, 2};
+	seen.seen.by_route["r"].pre_trial = {70, 2};
 	seen.seen.by_route["r"].old_version[30] = {50, 1};
 	seen.seen.by_route["r"].new_version[3] = {9, 2};
-	seen.seen.first_byte_by_model["m"].before.record(1);
+	seen.seen.first_byte_by_model["m"].pre_trial.record(1);
 	seen.seen.first_byte_by_model["m"].old_version[31].record(2);
 	seen.seen.first_byte_by_model["m"].new_version[0].record(8);
-	seen.seen.event_intervals_by_model["m"].usual.record(0.8);
+	seen.seen.event_intervals_by_model["m"].baseline.record(0.8);
 	seen.seen.event_intervals_by_model["m"].new_version[5].record(3);
-	seen.seen.late.new_version[1] = {4, 1};
+	seen.seen.peak_load_phase.new_version[1] = {4, 1};
 	const rollout::shift_suspension verdict{service_id{"s"}, row_version{12}};
 	const peer_report report{"me", {{replica_id{"r1"}, 40}}, {seen}, {verdict}, {suspect("seen")},
 		{limit_of("r2", 1.5, milliseconds{20})}};
--- a/tests/rollout/version_verdict.cpp
+++ b/tests/rollout/version_verdict.cpp
@@ -25,7 +25,7 @@
 route_evidence in_all_groups(response_counts each, response_counts of_old = {1000, 0})
 {
 	route_evidence seen;
-	seen.before = of_old;
+	seen.pre_trial = of_old;
 	for (std::size_t group = 0; group < replica_group_count; ++group)
 	{
 		add(seen.new_version, group, each);
@@ -51,12 +51,12 @@
 }
 
 /// Latencies of an old version before and during the trial.
-latency_evidence of_old_version(unsigned before, unsigned during_trial)
+latency_evidence of_old_version(unsigned pre_trial, unsigned during_trial)
 {
 	latency_evidence seen;
-	for (unsigned i = 0; i < before; ++i)
+	for (unsigned i = 0; i < pre_trial; ++i)
 	{
-		seen.before.record(old_latency(i));
+		seen.pre_trial.record(old_latency(i));
 	}
 	record_each(seen.old_version, during_trial, old_latency);
 	return seen;
@@ -101,7 +101,7 @@
 	for (const auto* route : {"a", "b", "c"})
 	{
 		auto& evidence = seen.by_route[route];
-		evidence.before = {300, 0};
+		evidence.pre_trial = {300, 0};
 		// One or two responses per group; every other group fails.
 		for (std::size_t i = 0; i < 8; ++i)
 		{
@@ -130,8 +130,8 @@
 	version_evidence seen;
 	seen.by_route["a"] = in_all_groups({400, 3});
 	CHECK_FALSE(is_bad(seen));
-	seen.late = in_all_groups({25, 4});
-	seen.by_route["a"] += seen.late;
+	seen.peak_load_phase = in_all_groups({25, 4});
+	seen.by_route["a"] += seen.peak_load_phase;
 	CHECK(is_bad(seen));
 }
 
@@ -172,7 +172,7 @@
 	auto& latencies = seen.first_byte_by_model["m"];
 	for (unsigned i = 0; i < 300; ++i)
 	{
-		latencies.before.record(3 + 0.05 * i);
+		latencies.pre_trial.record(3 + 0.05 * i);
 	}
 	record_each(latencies.old_version, 100, old_latency);
 	record_each(latencies.new_version, 80, [](unsigned i) { return 1.5 + 0.01 * i; });
