--- a/emulator/shift_emulator.cpp
+++ b/emulator/shift_emulator.cpp
@@ -128,7 +128,7 @@
 	{
 		auto& created =
 			vms_.emplace_back(std::make_unique<version_shift>(seeded_random{mix_hash(setup_.seed, index)},
-				[this](const rollout::shift_news& news) { record_suspension(news); }));
+				[this](const rollout::shift_event& event) { record_suspension(event); }));
 		created->note_reads_registry(is_reader(index));
 		created->note_replicas(service, replicas_of({&old_engines_}));
 	}
@@ -147,11 +147,11 @@
 		return all;
 	}
 
-	void record_suspension(const rollout::shift_news& news)
+	void record_suspension(const rollout::shift_event& event)
 	{
-		if (news.suspended && !news.told && !result_.suspended)
+		if (event.suspended && !event.follows_peer_verdict && !result_.suspended)
 		{
-			result_.suspended = news.known;
+			result_.suspended = event.summary;
 			result_.suspended_after = now_ - origin_;
 		}
 	}
--- a/include/gingerdyke/rollout/version_shift.hpp
+++ b/include/gingerdyke/rollout/version_shift.hpp
@@ -230,23 +230,23 @@
 };
 
 /// \brief Event: a plan was accepted, or the new version was suspended on this VM.
-struct shift_news
+struct shift_event
 {
 	const shift_plan& plan;
 	bool suspended{};
 
 	/// Whether the suspension follows another VM's verdict.
-	bool told{};
-	shift_summary known;
+	bool follows_peer_verdict{};
+	shift_summary summary;
 };
 
 /// \brief The shifts of all services as known to this VM.
 class version_shift
 {
   public:
-	using news_hook = std::function<void(const shift_news&)>;
+	using event_callback = std::function<void(const shift_event&)>;
 
-	version_shift(random_source random, news_hook news, shift_tuning tuning = {});
+	version_shift(random_source random, event_callback callback, shift_tuning tuning = {});
 
 	void on_order(const shift_order& order, instant now);
 	void on_plan(const shift_plan& plan, instant now);
@@ -412,7 +412,7 @@
 	[[nodiscard]] duration random_delay() const;
 
 	random_source random_;
-	news_hook event_callback_;
+	event_callback event_callback_;
 	shift_tuning tuning_;
 	std::map<service_id, service_state> services_;
 	bool reads_registry_ = true;
--- a/include/gingerdyke/rollout/version_verdict.hpp
+++ b/include/gingerdyke/rollout/version_verdict.hpp
@@ -89,20 +89,20 @@
 };
 
 /// \brief Name of a reason, as logged.
-[[nodiscard]] const char* name_of(verdict_reason ground) noexcept;
+[[nodiscard]] const char* name_of(verdict_reason reason) noexcept;
 
 /// \brief The strongest evidence against a new version.
 struct version_verdict
 {
-	verdict_reason ground{verdict_reason::none};
+	verdict_reason reason{verdict_reason::none};
 
 	/// The route or the model that the evidence is about; empty: all of them, in the peak-load phase or over
 	/// the whole trial.
-	std::string where;
+	std::string scope;
 
 	/// Number of responses considered, the bad ones among them, and the tolerated ratio of bad ones.
 	std::uint64_t responses{};
-	std::uint64_t bad{};
+	std::uint64_t bad_responses{};
 	double tolerated{};
 
 	/// Logarithm of the evidence that the ratio of bad responses is higher than tolerated; negative if it is
@@ -126,7 +126,7 @@
 	double failure_risk{1};
 
 	/// Whether a route or the peak-load phase is doubtful.
-	bool has_doubtful_part{};
+	bool has_doubtful_subset{};
 
 	/// Logarithm of the evidence that it is as fast as the old version: the lower of the values for time to
 	/// first byte and for event intervals of streams.
@@ -137,10 +137,10 @@
 	double slow_risk{};
 
 	/// Number of its bad responses: failures or slow ones, whichever are more.
-	std::uint64_t bad{};
+	std::uint64_t bad_responses{};
 
 	/// Whether it is shown to be as good as the old version.
-	bool is_shown{};
+	bool is_noninferior{};
 };
 
 /// \brief Tests whether a new version is as good as the old one.
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -95,32 +95,32 @@
 			{"survived", what.survived.size()}});
 }
 
-void log_shift(const rollout::shift_news& news)
+void log_shift(const rollout::shift_event& news)
 {
 	const auto& plan = news.plan;
 	json fields{{"service", plan.service.str()}, {"from", plan.from_version}, {"to", plan.to_version},
 		{"state", rollout::name_of(plan.state)}, {"row_version", plan.row.value()}};
-	fields["vms"] = news.known.vms;
-	fields["old_answers"] = news.known.old_version.responses;
-	fields["old_failed"] = news.known.old_version.failed;
-	fields["new_answers"] = news.known.new_version.responses;
-	fields["new_failed"] = news.known.new_version.failed;
-	const auto& verdict = news.known.verdict;
-	fields["ground"] = rollout::name_of(verdict.ground);
-	fields["where"] = verdict.where;
+	fields["vms"] = news.summary.vms;
+	fields["old_answers"] = news.summary.old_version.responses;
+	fields["old_failed"] = news.summary.old_version.failed;
+	fields["new_answers"] = news.summary.new_version.responses;
+	fields["new_failed"] = news.summary.new_version.failed;
+	const auto& verdict = news.summary.verdict;
+	fields["ground"] = rollout::name_of(verdict.reason);
+	fields["where"] = verdict.scope;
 	fields["answers"] = verdict.responses;
-	fields["bad"] = verdict.bad;
+	fields["bad"] = verdict.bad_responses;
 	fields["tolerated"] = verdict.tolerated;
 	fields["evidence"] = verdict.evidence;
-	const auto& proof = news.known.proof;
+	const auto& proof = news.summary.proof;
 	fields["promoted"] = plan.promoted.has_value();
-	fields["shown_good"] = proof.is_shown;
-	fields["bad_answers"] = proof.bad;
+	fields["shown_good"] = proof.is_noninferior;
+	fields["bad_answers"] = proof.bad_responses;
 	fields["judged_answers"] = proof.judged.responses;
 	fields["judged_failed"] = proof.judged.failed;
 	fields["failure_limit"] = proof.tolerated;
 	fields["failure_risk"] = proof.failure_risk;
-	fields["doubtful_part"] = proof.has_doubtful_part;
+	fields["doubtful_part"] = proof.has_doubtful_subset;
 	fields["fast_evidence"] = proof.fast_evidence;
 	fields["slow_risk"] = proof.slow_risk;
 	if (!news.suspended)
@@ -128,7 +128,7 @@
 		log::write(log::level::info, "version shift", std::move(fields));
 		return;
 	}
-	fields["told"] = news.told;
+	fields["told"] = news.follows_peer_verdict;
 	log::write(log::level::warn, "version suspended", std::move(fields));
 }
 } // namespace
--- a/src/rollout/version_shift.cpp
+++ b/src/rollout/version_shift.cpp
@@ -67,8 +67,8 @@
 	return std::nullopt;
 }
 
-version_shift::version_shift(random_source random, news_hook news, shift_tuning tuning)
-	: random_(std::move(random)), event_callback_(std::move(news)), tuning_(tuning)
+version_shift::version_shift(random_source random, event_callback callback, shift_tuning tuning)
+	: random_(std::move(random)), event_callback_(std::move(callback)), tuning_(tuning)
 {
 }
 
--- a/src/rollout/version_shift_evidence.cpp
+++ b/src/rollout/version_shift_evidence.cpp
@@ -246,7 +246,7 @@
 	{
 		return state.last_written_at + tuning_.min_report_interval;
 	}
-	if (state.plan->promoted || state.suspended || state.proof.is_shown)
+	if (state.plan->promoted || state.suspended || state.proof.is_noninferior)
 	{
 		return std::nullopt;
 	}
@@ -285,7 +285,7 @@
 	reported.min_failures = tuning_.min_reported_bad;
 	reported.min_slow_responses = tuning_.min_reported_bad;
 	const auto to_write = rollout::judge(state.to_write, reported);
-	state.bad_to_write = to_write.evidence > 0 ? to_write.bad : 0;
+	state.bad_to_write = to_write.evidence > 0 ? to_write.bad_responses : 0;
 }
 
 /// A VM that reads the registry knows the evidence of many VMs, and applies the lower bound at the end of the
@@ -308,7 +308,7 @@
 		state.next_action_at = reads_registry_ ? now : now + random_delay();
 		return;
 	}
-	if (!state.proof_deadline_start && state.proof.bad >= tuning_.proof_deadline_bad_responses)
+	if (!state.proof_deadline_start && state.proof.bad_responses >= tuning_.proof_deadline_bad_responses)
 	{
 		state.proof_deadline_start = now;
 	}
--- a/src/rollout/version_shift_plans.cpp
+++ b/src/rollout/version_shift_plans.cpp
@@ -31,7 +31,7 @@
 bool version_shift::may_be_promoted(const service_state& state, instant now) const
 {
 	const auto& plan = *state.plan;
-	return !plan.promoted && !state.suspended && reads_registry_ && state.proof.is_shown &&
+	return !plan.promoted && !state.suspended && reads_registry_ && state.proof.is_noninferior &&
 		   elapsed_fraction(plan, now) >= schedule_of(plan).trial_ends_at();
 }
 
@@ -52,7 +52,7 @@
 /// When the new version is suspended unless it is shown to be good before; none: there is no deadline.
 std::optional<instant> version_shift::proof_deadline_time(const service_state& state) const
 {
-	if (!reads_registry_ || state.suspended || state.proof.is_shown)
+	if (!reads_registry_ || state.suspended || state.proof.is_noninferior)
 	{
 		return std::nullopt;
 	}
@@ -83,7 +83,7 @@
 	{
 		return;
 	}
-	state.verdict.ground = verdict_reason::unproven;
+	state.verdict.reason = verdict_reason::unproven;
 	suspend(state, false);
 }
 
@@ -155,7 +155,7 @@
 	const auto& plan = *state.plan;
 	const auto next_transition =
 		plan.promoted ? completion_time(plan) : time_at(plan, schedule_of(plan).trial_ends_at());
-	const bool is_waiting_for_proof = !plan.promoted && !state.proof.is_shown;
+	const bool is_waiting_for_proof = !plan.promoted && !state.proof.is_noninferior;
 	std::optional<instant> at = proof_deadline_time(state);
 	if (!is_waiting_for_proof || now < next_transition)
 	{
--- a/src/rollout/version_verdict.cpp
+++ b/src/rollout/version_verdict.cpp
@@ -213,7 +213,7 @@
 		   judged.bad_ratio() >= tuning.doubtful_ratio * tolerated;
 }
 
-bool has_doubtful_part(
+bool has_doubtful_subset(
 	const version_evidence& seen, const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
 	const auto is_doubtful_route = [&](const auto& entry)
@@ -297,26 +297,26 @@
 	proof.judged = failures.judged;
 	proof.tolerated = failures.tolerated;
 	proof.failure_risk = failures.risk;
-	proof.has_doubtful_part = has_doubtful_part(seen, healthy, tuning);
+	proof.has_doubtful_subset = has_doubtful_subset(seen, healthy, tuning);
 	proof.fast_evidence = log_evidence_of_speed(latencies);
 	if (!event_intervals.empty())
 	{
 		proof.fast_evidence = std::min(proof.fast_evidence, log_evidence_of_speed(event_intervals));
 		proof.slow_risk = probability_if_slow(event_intervals, tuning.latencies);
 	}
-	proof.bad = std::max({all_routes.new_version.sum().failed, count_slow(latencies, false, tuning.latencies),
-		count_slow(event_intervals, true, tuning.latencies)});
+	proof.bad_responses = std::max({all_routes.new_version.sum().failed,
+		count_slow(latencies, false, tuning.latencies), count_slow(event_intervals, true, tuning.latencies)});
 	const bool is_fast = proof.fast_evidence >= -std::log(tuning.max_error_probability) &&
 						 proof.slow_risk <= tuning.max_error_probability;
-	proof.is_shown =
-		proof.failure_risk <= tuning.max_error_probability && !proof.has_doubtful_part && is_fast;
+	proof.is_noninferior =
+		proof.failure_risk <= tuning.max_error_probability && !proof.has_doubtful_subset && is_fast;
 	return proof;
 }
 } // namespace
 
-const char* name_of(verdict_reason ground) noexcept
+const char* name_of(verdict_reason reason) noexcept
 {
-	switch (ground)
+	switch (reason)
 	{
 	case verdict_reason::none:
 		return "none";
--- a/tests/rollout/verdict_after_restart.cpp
+++ b/tests/rollout/verdict_after_restart.cpp
@@ -39,7 +39,7 @@
 	void start(std::size_t i)
 	{
 		vms_[i] = std::make_unique<version_shift>(
-			seeded_random{++start_count_}, [](const shift_news&) {}, shift_tuning{});
+			seeded_random{++start_count_}, [](const shift_event&) {}, shift_tuning{});
 		const auto old = std::make_shared<routing::replica>();
 		old->service = service;
 		old->version = "v1";
--- a/tests/rollout/version_verdict.cpp
+++ b/tests/rollout/version_verdict.cpp
@@ -66,7 +66,7 @@
 TEST_CASE("without observations there is no evidence against a version", "[version-verdict]")
 {
 	const auto verdict = judge({}, tuning);
-	CHECK(verdict.ground != verdict_reason::latency);
+	CHECK(verdict.reason != verdict_reason::latency);
 	CHECK(verdict.evidence <= 0);
 }
 
@@ -78,8 +78,8 @@
 	CHECK_FALSE(is_bad(seen));
 	seen.by_route["b"] = in_all_groups({6, 3});
 	REQUIRE(is_bad(seen));
-	CHECK(judge(seen, tuning).ground == verdict_reason::failures);
-	CHECK(judge(seen, tuning).where == "b");
+	CHECK(judge(seen, tuning).reason == verdict_reason::failures);
+	CHECK(judge(seen, tuning).scope == "b");
 }
 
 TEST_CASE("failures of a few replicas are not attributed to the version", "[version-verdict]")
@@ -144,7 +144,7 @@
 	}
 	record_each(seen.first_byte_by_model["small"].new_version, 60, [](unsigned i) { return 1.3 + 0.05 * i; });
 	CHECK(is_bad(seen));
-	CHECK(judge(seen, tuning).ground == verdict_reason::latency);
+	CHECK(judge(seen, tuning).reason == verdict_reason::latency);
 }
 
 TEST_CASE("cold caches do not count as a slow version", "[version-verdict]")
--- a/tests/support/shift_vm.hpp
+++ b/tests/support/shift_vm.hpp
@@ -14,7 +14,7 @@
 /// \brief One VM whose registry clock runs with its own, 7 s ahead.
 struct vm
 {
-	explicit vm(std::uint64_t seed) : shift(seeded_random{seed}, [](const rollout::shift_news&) {})
+	explicit vm(std::uint64_t seed) : shift(seeded_random{seed}, [](const rollout::shift_event&) {})
 	{
 		const auto old = std::make_shared<routing::replica>();
 		old->service = service;
