--- a/emulator/shift_emulator.cpp
+++ b/emulator/shift_emulator.cpp
@@ -129,8 +129,8 @@
 		auto& created =
 			vms_.emplace_back(std::make_unique<version_shift>(seeded_random{mix_hash(setup_.seed, index)},
 				[this](const rollout::shift_event& event) { record_suspension(event); }));
-		created->note_reads_registry(is_reader(index));
-		created->note_replicas(service, replicas_of({&old_engines_}));
+		created->set_reads_registry(is_reader(index));
+		created->set_replicas(service, replicas_of({&old_engines_}));
 	}
 
 	[[nodiscard]] static std::vector<routing::replica_ptr> replicas_of(
@@ -162,7 +162,7 @@
 		for (auto& vm : vms_)
 		{
 			vm->on_order({service, new_version, setup_.length, rollout::row_version{10}}, now_);
-			vm->note_replicas(service, replicas_of({&old_engines_, &new_engines_}));
+			vm->set_replicas(service, replicas_of({&old_engines_, &new_engines_}));
 		}
 	}
 
@@ -195,7 +195,7 @@
 		}
 		for (auto& vm : vms_)
 		{
-			vm->note_registry_time(now_.time_since_epoch() + registry_clock_offset, now_);
+			vm->update_registry_time(now_.time_since_epoch() + registry_clock_offset, now_);
 			if (plan_)
 			{
 				vm->on_plan(*plan_, now_);
--- a/include/gingerdyke/rollout/version_shift.hpp
+++ b/include/gingerdyke/rollout/version_shift.hpp
@@ -272,14 +272,14 @@
 
 	/// \brief Sets whether this VM reads the registry itself, possibly for others; initially true. Such a VM
 	/// writes evidence, and writes plans before the others.
-	void note_reads_registry(bool does);
+	void set_reads_registry(bool reads);
 
 	/// \brief Updates the replicas of a service. Before the first order, its version in use is determined
 	/// from them.
-	void note_replicas(const service_id& service, const std::vector<routing::replica_ptr>& replicas);
+	void set_replicas(const service_id& service, const std::vector<routing::replica_ptr>& replicas);
 
 	/// \brief Updates the offset to the registry's clock from the time in one of its responses.
-	void note_registry_time(registry_time registry_clock, instant now);
+	void update_registry_time(registry_time registry_clock, instant now);
 
 	/// \brief Records a response.
 	void record_response(
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -54,7 +54,7 @@
 			  {
 				  note_suspension();
 				  gateway_.confirm(newest_at);
-				  gateway_.versions().note_registry_time(at, proxy::steady_now());
+				  gateway_.versions().update_registry_time(at, proxy::steady_now());
 				  suspects_.note_registry_time(at, proxy::steady_now());
 			  },
 			  // What the other calls wait for may be lost as well: they are made again.
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -20,7 +20,7 @@
 	hooks.summarised = [this](const peer_summary& summary) { on_summary(summary); };
 	hooks.moved = [this](bool reads_registry)
 	{
-		gateway_.versions().note_reads_registry(reads_registry);
+		gateway_.versions().set_reads_registry(reads_registry);
 		reads_registry_ = reads_registry;
 		suspects_.note_reads_registry(reads_registry);
 		suspects_.arm();
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -474,6 +474,6 @@
 	{
 		pool_.drop(one.id);
 	}
-	versions_.note_replicas(one.service, replicas_.of(one.service));
+	versions_.set_replicas(one.service, replicas_.of(one.service));
 }
 } // namespace gingerdyke::proxy
--- a/src/rollout/version_shift.cpp
+++ b/src/rollout/version_shift.cpp
@@ -124,10 +124,10 @@
 	return state.plan && state.plan->state == shift_state::running;
 }
 
-void version_shift::note_reads_registry(bool does)
+void version_shift::set_reads_registry(bool reads)
 {
-	const bool starts_reading = does && !reads_registry_;
-	reads_registry_ = does;
+	const bool starts_reading = reads && !reads_registry_;
+	reads_registry_ = reads;
 	if (!starts_reading)
 	{
 		return;
@@ -165,8 +165,7 @@
 		services_.begin(), services_.end(), [](const auto& entry) { return is_running(entry.second); });
 }
 
-void version_shift::note_replicas(
-	const service_id& service, const std::vector<routing::replica_ptr>& replicas)
+void version_shift::set_replicas(const service_id& service, const std::vector<routing::replica_ptr>& replicas)
 {
 	auto& state = services_[service];
 	state.replicas.clear();
@@ -186,7 +185,7 @@
 	}
 }
 
-void version_shift::note_registry_time(registry_time registry_clock, instant now)
+void version_shift::update_registry_time(registry_time registry_clock, instant now)
 {
 	// The largest offset is the most accurate one: it belongs to the response with the shortest delay.
 	const auto offset = registry_clock - now.time_since_epoch();
--- a/tests/rollout/verdict_after_restart.cpp
+++ b/tests/rollout/verdict_after_restart.cpp
@@ -43,7 +43,7 @@
 		const auto old = std::make_shared<routing::replica>();
 		old->service = service;
 		old->version = "v1";
-		vms_[i]->note_replicas(service, {old});
+		vms_[i]->set_replicas(service, {old});
 	}
 
 	void set_registry_lost(std::size_t i, bool is_lost) { registry_lost_[i] = is_lost; }
@@ -89,7 +89,7 @@
 
 	void read_registry(version_shift& vm)
 	{
-		vm.note_registry_time(now_.time_since_epoch() + seconds{7}, now_);
+		vm.update_registry_time(now_.time_since_epoch() + seconds{7}, now_);
 		if (plan_)
 		{
 			vm.on_plan(*plan_, now_);
--- a/tests/rollout/version_promotion.cpp
+++ b/tests/rollout/version_promotion.cpp
@@ -42,7 +42,7 @@
 {
 	vm one{1};
 	begin(one);
-	one.shift.note_reads_registry(false);
+	one.shift.set_reads_registry(false);
 	one.pass(milliseconds{10500});
 	one.see("v1", 100, 0);
 	one.see("v2", 40, 0);
@@ -50,7 +50,7 @@
 	CHECK(one.shift.due(one.now).empty());
 	CHECK(measured_share(one) == Approx(0.056).noninferiority_margin(0.002));
 	// Once it reads the registry, it performs the promotion that was left to others.
-	one.shift.note_reads_registry(true);
+	one.shift.set_reads_registry(true);
 	one.see("v2", 1, 0);
 	CHECK(written(one, 12).promoted);
 }
--- a/tests/rollout/version_shift.cpp
+++ b/tests/rollout/version_shift.cpp
@@ -20,7 +20,7 @@
 	const auto old = std::make_shared<routing::replica>();
 	old->service = service;
 	old->version = "v1";
-	one.shift.note_replicas(service, {new_replica, new_replica, old});
+	one.shift.set_replicas(service, {new_replica, new_replica, old});
 	CHECK(one.shift.version_for(service, 5, one.now) == "v1");
 }
 
@@ -175,7 +175,7 @@
 	CHECK(evidence_due().empty());
 	relay("b", 30, 8);
 	CHECK(evidence_due().size() == 2);
-	one.shift.note_reads_registry(false);
+	one.shift.set_reads_registry(false);
 	relay("b", 60, 20);
 	CHECK(evidence_due().empty());
 }
@@ -202,7 +202,7 @@
 	one.pass(seconds{11});
 	one.shift.on_suspension({service, row_version{9}}, one.now);
 	CHECK(measured_share(one) > 0);
-	one.shift.note_reads_registry(false);
+	one.shift.set_reads_registry(false);
 	one.shift.on_suspension({service, plan.order}, one.now);
 	CHECK(measured_share(one) == 0);
 	REQUIRE(one.shift.suspensions().size() == 1);
@@ -305,10 +305,10 @@
 	all.insert(all.end(), new_replicas.begin(), new_replicas.end());
 	vm early{1};
 	const auto plan = begin(early);
-	early.shift.note_replicas(service, all);
+	early.shift.set_replicas(service, all);
 	// A restarted VM reads the replicas, then the order and the plan; no replica changes after that.
 	vm restarted{2};
-	restarted.shift.note_replicas(service, all);
+	restarted.shift.set_replicas(service, all);
 	restarted.shift.on_order({service, "v2", seconds{20}, row_version{10}}, restarted.now);
 	restarted.shift.on_plan(plan, restarted.now);
 	early.pass(milliseconds{10500});
--- a/tests/support/shift_vm.hpp
+++ b/tests/support/shift_vm.hpp
@@ -19,11 +19,11 @@
 		const auto old = std::make_shared<routing::replica>();
 		old->service = service;
 		old->version = "v1";
-		shift.note_replicas(service, {old});
+		shift.set_replicas(service, {old});
 		hear();
 	}
 
-	void hear() { shift.note_registry_time(now.time_since_epoch() + std::chrono::seconds{7}, now); }
+	void hear() { shift.update_registry_time(now.time_since_epoch() + std::chrono::seconds{7}, now); }
 
 	/// A VM in touch hears from the registry at least this often.
 	void pass(duration span)
