--- a/bench/experiment_bad_versions.cpp
+++ b/bench/experiment_bad_versions.cpp
@@ -106,7 +106,7 @@
 		return 1;
 	}
 
-	void take(const vm_id& from, const rollout::owner_step& step_taken)
+	void take(const vm_id& from, const rollout::permit_owner_step& step_taken)
 	{
 		if (!step_taken.suspended.empty() && !suspended_at_)
 		{
@@ -131,7 +131,7 @@
 			}
 			else if (const auto* sum = std::get_if<peer::evidence_sum>(&send.body))
 			{
-				take(send.to, to.owner->on_sum(*sum, table_, now_));
+				take(send.to, to.owner->on_evidence_sum(*sum, table_, now_));
 			}
 		}
 	}
--- a/include/gingerdyke/node/core.hpp
+++ b/include/gingerdyke/node/core.hpp
@@ -74,8 +74,8 @@
 	ledger::journal_limits journal;
 	decision::board_tuning board;
 	decision::cascade_tuning cascades;
-	rollout::gate_pace gate;
-	rollout::owner_tuning permits;
+	rollout::trial_gate_tuning gate;
+	rollout::permit_owner_tuning permits;
 	desk_limits desk;
 };
 
@@ -134,7 +134,7 @@
 	void run(ledger::outbox_step step, instant now, actions& out);
 	void run(desk_step step, instant now, actions& out);
 	void run(table::edit_step step, instant now, actions& out);
-	void run(rollout::owner_step step, instant now, actions& out);
+	void run(rollout::permit_owner_step step, instant now, actions& out);
 	static void run(effects effects, actions& out);
 
 	identity self_;
--- a/include/gingerdyke/rollout/permit_owner.hpp
+++ b/include/gingerdyke/rollout/permit_owner.hpp
@@ -16,7 +16,7 @@
 namespace gingerdyke::rollout
 {
 /// \brief Tuning of trials; docs/MEASUREMENTS.md gives the reasons for the defaults.
-struct owner_tuning
+struct permit_owner_tuning
 {
 	/// Lifetime of a permit. A new owner grants none until the permits of the previous owner have expired.
 	duration permit_lifetime = std::chrono::seconds{5};
@@ -39,7 +39,7 @@
 };
 
 /// \brief Effects of a step, and the versions that it suspended.
-struct owner_step
+struct permit_owner_step
 {
 	effects out;
 	std::vector<peer::suspension> suspended;
@@ -50,15 +50,16 @@
 class permit_owner
 {
   public:
-	explicit permit_owner(const membership::live_list& live, owner_tuning tuning = {});
+	explicit permit_owner(const membership::live_list& live, permit_owner_tuning tuning = {});
 
-	[[nodiscard]] owner_step on_request(
+	[[nodiscard]] permit_owner_step on_request(
 		const vm_id& from, const peer::permit_request& request, const table::table& table, instant now);
-	[[nodiscard]] owner_step on_sum(const peer::evidence_sum& sum, const table::table& table, instant now);
-	[[nodiscard]] owner_step on_tick(const table::table& table, instant now);
+	[[nodiscard]] permit_owner_step on_evidence_sum(
+		const peer::evidence_sum& sum, const table::table& table, instant now);
+	[[nodiscard]] permit_owner_step on_tick(const table::table& table, instant now);
 
 	/// \brief Evidence summed over the failure domains known here; for the `status` command.
-	[[nodiscard]] std::map<version_ref, peer::evidence> sums() const;
+	[[nodiscard]] std::map<version_ref, peer::evidence> evidence_by_version() const;
 
   private:
 	struct trial
@@ -80,12 +81,12 @@
 		const version_ref& ref, revision row, const table::table& table, instant now);
 	[[nodiscard]] std::uint32_t grant(
 		trial& trial, std::uint32_t requested_permits, unsigned batch, instant now) const;
-	void judge(trial& trial, const table::version_row& version, owner_step& step) const;
+	void judge(trial& trial, const table::version_row& version, permit_owner_step& step) const;
 	[[nodiscard]] static peer::evidence domain_evidence(const trial& trial);
 	[[nodiscard]] static peer::evidence total_evidence(const trial& trial);
 
 	const membership::live_list& live_;
-	owner_tuning tuning_;
+	permit_owner_tuning tuning_;
 	std::map<version_ref, trial> trials_;
 	std::optional<instant> last_exchange_;
 };
--- a/include/gingerdyke/rollout/suspensions.hpp
+++ b/include/gingerdyke/rollout/suspensions.hpp
@@ -19,13 +19,13 @@
 	bool add(const peer::suspension& suspension) { return set_.insert(suspension).second; }
 
 	/// \brief Whether a version is suspended at the current revision of its row.
-	[[nodiscard]] bool holds(const table::version_row& version) const
+	[[nodiscard]] bool contains(const table::version_row& version) const
 	{
 		return set_.contains({version.ref, version.at});
 	}
 
 	/// \brief Removes the suspensions of rows that were edited or deleted since.
-	void drop_lifted(const table::table& table)
+	void remove_lifted(const table::table& table)
 	{
 		std::erase_if(set_,
 			[&](const peer::suspension& suspension)
@@ -38,7 +38,7 @@
 	[[nodiscard]] std::vector<peer::suspension> list() const { return {set_.begin(), set_.end()}; }
 
 	/// \brief The suspensions of a received list that are not known here.
-	[[nodiscard]] std::vector<peer::suspension> unknown_of(
+	[[nodiscard]] std::vector<peer::suspension> filter_unknown(
 		const std::vector<peer::suspension>& received) const
 	{
 		std::vector<peer::suspension> result;
--- a/include/gingerdyke/rollout/trial_gate.hpp
+++ b/include/gingerdyke/rollout/trial_gate.hpp
@@ -15,7 +15,7 @@
 [[nodiscard]] std::string permit_key(const version_ref& version);
 
 /// \brief Tuning of reports to the permit owner.
-struct gate_pace
+struct trial_gate_tuning
 {
 	duration report_interval = std::chrono::seconds{1};
 
@@ -27,14 +27,14 @@
 class trial_gate
 {
   public:
-	explicit trial_gate(const membership::live_list& live, gate_pace tuning = {});
+	explicit trial_gate(const membership::live_list& live, trial_gate_tuning tuning = {});
 
 	/// \brief Takes a permit for one request to a version on trial; without a permit, adds one to the number
 	/// requested by the next report.
 	[[nodiscard]] bool take_permit(const table::version_row& version, instant now);
 
 	/// \brief Returns a permit whose request was not executed.
-	void give_back(const version_ref& version);
+	void return_permit(const version_ref& version);
 
 	/// \brief Records the outcome of a response.
 	void record_response(const table::version_row& version, bool failed);
@@ -60,7 +60,7 @@
 	[[nodiscard]] entry& entry_of(const table::version_row& version);
 
 	const membership::live_list& live_;
-	gate_pace tuning_;
+	trial_gate_tuning tuning_;
 	std::map<version_ref, entry> entries_;
 	std::optional<instant> last_report_;
 };
--- a/src/decision/version_picker.cpp
+++ b/src/decision/version_picker.cpp
@@ -34,7 +34,7 @@
 	{
 		return version_use::withdrawn;
 	}
-	if (suspended_.holds(*version))
+	if (suspended_.contains(*version))
 	{
 		return version_use::suspended;
 	}
--- a/src/node/core.cpp
+++ b/src/node/core.cpp
@@ -84,7 +84,7 @@
 	}
 }
 
-void core::run(rollout::owner_step step, instant now, actions& out)
+void core::run(rollout::permit_owner_step step, instant now, actions& out)
 {
 	run(std::move(step.out), out);
 	suspend(step.suspended, now, out);
@@ -124,7 +124,7 @@
 		{
 			node.live_.note_leaving(from.from.vm);
 		}
-		node.suspend(node.suspensions_.unknown_of(body.suspensions), now, out);
+		node.suspend(node.suspensions_.filter_unknown(body.suspensions), now, out);
 		run(node.spread_.on_digest(from, body, now), out);
 	}
 
@@ -169,7 +169,7 @@
 	{
 		if (const auto& table = node.spread_.current())
 		{
-			node.run(node.permits_.on_sum(body, *table, now), now, out);
+			node.run(node.permits_.on_evidence_sum(body, *table, now), now, out);
 		}
 	}
 };
@@ -240,7 +240,7 @@
 	run(desk_.on_tick(now), now, out);
 	if (const auto& table = spread_.current())
 	{
-		suspensions_.drop_lifted(*table);
+		suspensions_.remove_lifted(*table);
 		spread_.set_digest_extras(suspensions_.list(), stopping_);
 		run(gate_.on_tick(*table, now), out);
 		run(permits_.on_tick(*table, now), now, out);
--- a/src/node/request_desk.cpp
+++ b/src/node/request_desk.cpp
@@ -273,7 +273,7 @@
 {
 	if (record.on_permit)
 	{
-		parts_.gate.give_back(record.version);
+		parts_.gate.return_permit(record.version);
 		record.on_permit = false;
 	}
 	record.version = {};
--- a/src/node/request_desk_endings.cpp
+++ b/src/node/request_desk_endings.cpp
@@ -208,7 +208,7 @@
 	refuse_order word{why.status, why.message, why.retry_after, facts_of(record, ran, why.code)};
 	if (record.on_permit)
 	{
-		parts_.gate.give_back(record.version);
+		parts_.gate.return_permit(record.version);
 	}
 	if (record.held_answer)
 	{
--- a/src/node/status.cpp
+++ b/src/node/status.cpp
@@ -49,7 +49,7 @@
 json trials_of(const core& core)
 {
 	auto result = json::object();
-	for (const auto& [version, sum] : core.trials().sums())
+	for (const auto& [version, sum] : core.trials().evidence_by_version())
 	{
 		result[version.str()] = {{"answers", sum.answers}, {"failures", sum.failures}};
 	}
--- a/src/rollout/permit_owner.cpp
+++ b/src/rollout/permit_owner.cpp
@@ -27,7 +27,7 @@
 }
 } // namespace
 
-permit_owner::permit_owner(const membership::live_list& live, owner_tuning tuning)
+permit_owner::permit_owner(const membership::live_list& live, permit_owner_tuning tuning)
 	: live_(live), tuning_(tuning)
 {
 }
@@ -51,10 +51,10 @@
 	return &found->second;
 }
 
-owner_step permit_owner::on_request(
+permit_owner_step permit_owner::on_request(
 	const vm_id& from, const peer::permit_request& request, const table::table& table, instant now)
 {
-	owner_step step;
+	permit_owner_step step;
 	auto* trial = find_or_create_trial(request.seen.version, request.seen.row_revision, table, now);
 	if (trial == nullptr)
 	{
@@ -116,7 +116,7 @@
 	return permits;
 }
 
-void permit_owner::judge(trial& trial, const table::version_row& version, owner_step& step) const
+void permit_owner::judge(trial& trial, const table::version_row& version, permit_owner_step& step) const
 {
 	if (trial.suspended)
 	{
@@ -135,9 +135,10 @@
 	}
 }
 
-owner_step permit_owner::on_sum(const peer::evidence_sum& sum, const table::table& table, instant now)
+permit_owner_step permit_owner::on_evidence_sum(
+	const peer::evidence_sum& sum, const table::table& table, instant now)
 {
-	owner_step step;
+	permit_owner_step step;
 	auto* trial = find_or_create_trial(sum.sum.version, sum.sum.row_revision, table, now);
 	if (trial == nullptr || sum.failure_domain == live_.self().failure_domain)
 	{
@@ -148,9 +149,9 @@
 	return step;
 }
 
-owner_step permit_owner::on_tick(const table::table& table, instant now)
+permit_owner_step permit_owner::on_tick(const table::table& table, instant now)
 {
-	owner_step step;
+	permit_owner_step step;
 	if (last_exchange_ && now - *last_exchange_ < tuning_.exchange_interval)
 	{
 		return step;
@@ -203,7 +204,7 @@
 	return sum;
 }
 
-std::map<version_ref, peer::evidence> permit_owner::sums() const
+std::map<version_ref, peer::evidence> permit_owner::evidence_by_version() const
 {
 	std::map<version_ref, peer::evidence> result;
 	for (const auto& [ref, trial] : trials_)
--- a/src/rollout/trial_gate.cpp
+++ b/src/rollout/trial_gate.cpp
@@ -10,7 +10,10 @@
 	return "permit/" + version.str();
 }
 
-trial_gate::trial_gate(const membership::live_list& live, gate_pace tuning) : live_(live), tuning_(tuning) {}
+trial_gate::trial_gate(const membership::live_list& live, trial_gate_tuning tuning)
+	: live_(live), tuning_(tuning)
+{
+}
 
 trial_gate::entry& trial_gate::entry_of(const table::version_row& version)
 {
@@ -41,7 +44,7 @@
 	return true;
 }
 
-void trial_gate::give_back(const version_ref& version)
+void trial_gate::return_permit(const version_ref& version)
 {
 	const auto found = entries_.find(version);
 	if (found != entries_.end())
