--- a/bench/experiment_shifts.cpp
+++ b/bench/experiment_shifts.cpp
@@ -22,7 +22,7 @@
 struct named_trouble
 {
 	const char* name;
-	shift_trouble trouble;
+	shift_disturbance trouble;
 };
 
 const std::array troubles{named_trouble{"calm", {}}, named_trouble{"burst", {.has_burst = true}},
@@ -40,7 +40,7 @@
 {
 	shift_setup setup;
 	setup.vms = vms;
-	setup.domains = domains;
+	setup.failure_domains = domains;
 	setup.replicas = replicas;
 	setup.responses_per_s = responses_per_s;
 	return setup;
@@ -88,7 +88,7 @@
 		{
 			auto one = setup;
 			one.seed = i + 1;
-			results[i] = play(one);
+			results[i] = simulate_shift(one);
 		}
 	};
 	std::vector<std::thread> threads;
@@ -130,9 +130,9 @@
 }
 
 /// Trouble of the old version's replicas alone, failing and slow, on a part of them and on all.
-std::vector<std::pair<std::string, shift_trouble>> troubles_of_old()
+std::vector<std::pair<std::string, shift_disturbance>> troubles_of_old()
 {
-	std::vector<std::pair<std::string, shift_trouble>> all;
+	std::vector<std::pair<std::string, shift_disturbance>> all;
 	for (const auto struck : struck_shares)
 	{
 		const auto on = struck < 1 ? " of half of the old replicas" : " of all old replicas";
@@ -141,12 +141,12 @@
 			const auto rate = std::min(1.0, share / struck);
 			const auto percent = static_cast<int>(std::lround(rate * 100));
 			all.emplace_back("fails " + std::to_string(percent) + " in 100" + on,
-				shift_trouble{.failing_share = struck, .failing_rate = rate, .is_old_only = true});
+				shift_disturbance{.failing_share = struck, .failing_rate = rate, .is_old_only = true});
 		}
 		for (const auto factor : slow_factors)
 		{
 			all.emplace_back(std::to_string(static_cast<int>(factor)) + " times slower," + on,
-				shift_trouble{.slowed_share = struck, .slowed_by = factor, .is_old_only = true});
+				shift_disturbance{.slowed_share = struck, .slowed_by = factor, .is_old_only = true});
 		}
 	}
 	return all;
@@ -163,7 +163,7 @@
 			{
 				auto setup = size.setup;
 				setup.fault = fault;
-				setup.trouble = trouble;
+				setup.disturbance = trouble;
 				print_row(fault, size.name, name, play_all(setup, plays_of(setup, plays, beside_divisor)));
 			}
 		}
@@ -182,7 +182,7 @@
 			{
 				auto setup = size.setup;
 				setup.fault = fault;
-				setup.trouble = trouble.trouble;
+				setup.disturbance = trouble.trouble;
 				print_row(
 					fault, size.name, trouble.name, play_all(setup, plays_of(setup, plays, large_divisor)));
 			}
--- a/emulator/shift_emulator.cpp
+++ b/emulator/shift_emulator.cpp
@@ -51,7 +51,7 @@
 	double rate{};
 };
 
-/// One simulation run; see `play`.
+/// One simulation run; see `simulate_shift`.
 class shift_simulation
 {
   public:
@@ -98,11 +98,14 @@
 		return now_ - origin_ >= start && now_ - origin_ < start + disturbance_length;
 	}
 
-	[[nodiscard]] bool is_bursting() const { return setup_.trouble.has_burst && is_within(burst_starts_at_); }
+	[[nodiscard]] bool is_bursting() const
+	{
+		return setup_.disturbance.has_burst && is_within(burst_starts_at_);
+	}
 
 	[[nodiscard]] bool is_registry_lost() const
 	{
-		return setup_.trouble.loses_registry && is_within(registry_loss_starts_at_);
+		return setup_.disturbance.loses_registry && is_within(registry_loss_starts_at_);
 	}
 
 	void make_engines(const char* version, std::vector<engine>& engines)
@@ -118,9 +121,10 @@
 			auto& added = engines.emplace_back();
 			added.replica = created;
 			added.speed = speeds[index % std::size(speeds)];
-			const bool is_unaffected = setup_.trouble.is_old_only && version == std::string_view{new_version};
-			added.is_slowed = random_fraction() < setup_.trouble.slowed_share && !is_unaffected;
-			added.is_failing = random_fraction() < setup_.trouble.failing_share && !is_unaffected;
+			const bool is_unaffected =
+				setup_.disturbance.is_old_only && version == std::string_view{new_version};
+			added.is_slowed = random_fraction() < setup_.disturbance.slowed_share && !is_unaffected;
+			added.is_failing = random_fraction() < setup_.disturbance.failing_share && !is_unaffected;
 		}
 	}
 
@@ -167,14 +171,14 @@
 	}
 
 	/// Disturbances of the old version's replicas only begin with the shift.
-	[[nodiscard]] bool is_old_disturbed() const { return setup_.trouble.is_old_only && now_ >= origin_; }
+	[[nodiscard]] bool is_old_disturbed() const { return setup_.disturbance.is_old_only && now_ >= origin_; }
 
-	[[nodiscard]] bool is_overloaded() const { return setup_.trouble.overload > 0 && now_ >= origin_; }
+	[[nodiscard]] bool is_overloaded() const { return setup_.disturbance.overload > 0 && now_ >= origin_; }
 
 	[[nodiscard]] static std::string name_of_vm(std::size_t index) { return "vm" + std::to_string(index); }
 
-	[[nodiscard]] bool is_reader(std::size_t index) const { return index < setup_.domains; }
-	[[nodiscard]] std::size_t reader_of(std::size_t index) const { return index % setup_.domains; }
+	[[nodiscard]] bool is_reader(std::size_t index) const { return index < setup_.failure_domains; }
+	[[nodiscard]] std::size_t reader_of(std::size_t index) const { return index % setup_.failure_domains; }
 
 	void run_step()
 	{
@@ -207,7 +211,7 @@
 			{
 				continue;
 			}
-			for (std::size_t index = 0; index < setup_.domains; ++index)
+			for (std::size_t index = 0; index < setup_.failure_domains; ++index)
 			{
 				if (row.reporter != name_of_vm(index))
 				{
@@ -352,7 +356,7 @@
 		}
 		if (!is_new && is_overloaded())
 		{
-			queue -= setup_.trouble.overload * std::log(1 - random_fraction());
+			queue -= setup_.disturbance.overload * std::log(1 - random_fraction());
 		}
 		return queue;
 	}
@@ -360,7 +364,7 @@
 	[[nodiscard]] double slowdown_of(const engine& target, bool is_new) const
 	{
 		const bool is_slowed = target.is_slowed && (is_old_disturbed() || is_within(slowdown_starts_at_));
-		const auto replica_slowdown = is_slowed ? setup_.trouble.slowed_by : 1;
+		const auto replica_slowdown = is_slowed ? setup_.disturbance.slowed_by : 1;
 		return is_new && setup_.fault == version_fault::slow ? replica_slowdown * version_slowdown_
 															 : replica_slowdown;
 	}
@@ -368,8 +372,8 @@
 	double failure_ratio(const engine& target, bool is_new, bool is_first_route) const
 	{
 		constexpr double bad_version_ratio = 0.5;
-		const bool is_failing = target.is_failing && (now_ >= origin_ || !setup_.trouble.is_old_only);
-		const auto replica_ratio = is_failing ? setup_.trouble.failing_rate : 0;
+		const bool is_failing = target.is_failing && (now_ >= origin_ || !setup_.disturbance.is_old_only);
+		const auto replica_ratio = is_failing ? setup_.disturbance.failing_rate : 0;
 		if (!is_new)
 		{
 			return replica_ratio;
@@ -402,7 +406,7 @@
 
 	void exchange_reports()
 	{
-		for (std::size_t index = setup_.domains; index < vms_.size(); ++index)
+		for (std::size_t index = setup_.failure_domains; index < vms_.size(); ++index)
 		{
 			auto& reader = *vms_[reader_of(index)];
 			for (const auto& evidence : vms_[index]->own_evidence())
@@ -493,7 +497,7 @@
 	return "unknown";
 }
 
-shift_result play(const shift_setup& setup)
+shift_result simulate_shift(const shift_setup& setup)
 {
 	return shift_simulation{setup}.run();
 }
--- a/emulator/shift_emulator.hpp
+++ b/emulator/shift_emulator.hpp
@@ -30,7 +30,7 @@
 
 /// \brief Disturbances during a shift that are not caused by the new version; they affect both versions
 /// unless stated otherwise.
-struct shift_trouble
+struct shift_disturbance
 {
 	/// Traffic doubles for some seconds, at a random time during the shift.
 	bool has_burst{};
@@ -58,7 +58,7 @@
 struct shift_setup
 {
 	unsigned vms{7};
-	unsigned domains{3};
+	unsigned failure_domains{3};
 
 	/// Replicas of each version.
 	unsigned replicas{18};
@@ -67,7 +67,7 @@
 	double responses_per_s{120};
 	duration length = std::chrono::seconds{24};
 	version_fault fault{version_fault::none};
-	shift_trouble trouble;
+	shift_disturbance disturbance;
 	std::uint64_t seed{1};
 };
 
@@ -91,5 +91,5 @@
 };
 
 /// \brief Simulates one shift from the order to the end of its length.
-[[nodiscard]] shift_result play(const shift_setup& setup);
+[[nodiscard]] shift_result simulate_shift(const shift_setup& setup);
 } // namespace gingerdyke::emulator
--- a/tests/emulator/shift.cpp
+++ b/tests/emulator/shift.cpp
@@ -21,15 +21,15 @@
 {
 	shift_setup setup;
 	setup.vms = 300;
-	setup.domains = 5;
+	setup.failure_domains = 5;
 	setup.replicas = 192;
 	setup.responses_per_s = 1200;
 	return setup;
 }
 
-std::vector<shift_trouble> troubles()
+std::vector<shift_disturbance> disturbances()
 {
-	std::vector<shift_trouble> all(5);
+	std::vector<shift_disturbance> all(5);
 	all[1].has_burst = true;
 	all[2].slowed_share = 0.3;
 	all[3].failing_share = 0.14;
@@ -37,19 +37,19 @@
 	return all;
 }
 
-void each_play(const shift_setup& deployment, unsigned seeds,
+void for_each_simulation(const shift_setup& deployment, unsigned seeds,
 	const std::function<void(const shift_setup&, const shift_result&)>& check)
 {
-	for (const auto& trouble : troubles())
+	for (const auto& disturbance : disturbances())
 	{
 		for (unsigned seed = 1; seed <= seeds; ++seed)
 		{
 			auto setup = deployment;
-			setup.trouble = trouble;
+			setup.disturbance = disturbance;
 			setup.seed = seed;
-			CAPTURE(name_of(setup.fault), setup.vms, seed, trouble.has_burst, trouble.slowed_share,
-				trouble.failing_share, trouble.loses_registry);
-			check(setup, play(setup));
+			CAPTURE(name_of(setup.fault), setup.vms, seed, disturbance.has_burst, disturbance.slowed_share,
+				disturbance.failing_share, disturbance.loses_registry);
+			check(setup, simulate_shift(setup));
 		}
 	}
 }
@@ -57,13 +57,13 @@
 void check_bad(shift_setup deployment, version_fault fault, unsigned seeds)
 {
 	deployment.fault = fault;
-	each_play(deployment, seeds,
+	for_each_simulation(deployment, seeds,
 		[](const shift_setup& setup, const shift_result& result)
 		{
 			// Without the registry the verdict can't be written, but the VMs still stop sending requests to
 			// the version.
 			CHECK((result.state == shift_state::rolled_back ||
-				   (setup.trouble.loses_registry && result.state == shift_state::running)));
+				   (setup.disturbance.loses_registry && result.state == shift_state::running)));
 			CHECK(result.late_requests == 0);
 			CHECK(result.exposure < exposure_limit);
 		});
@@ -97,7 +97,7 @@
 	setup.fault = version_fault::fails;
 	constexpr unsigned seeds = 40;
 	unsigned completed = 0;
-	each_play(setup, seeds,
+	for_each_simulation(setup, seeds,
 		[&](const shift_setup&, const shift_result& result)
 		{
 			completed += result.state == shift_state::completed ? 1 : 0;
@@ -117,7 +117,7 @@
 	constexpr unsigned seeds = 10;
 	for (setup.seed = 1; setup.seed <= seeds; ++setup.seed)
 	{
-		const auto result = play(setup);
+		const auto result = simulate_shift(setup);
 		detected += result.state == shift_state::rolled_back ? 1 : 0;
 		CHECK(result.exposure < exposure_limit);
 	}
@@ -132,7 +132,7 @@
 	setup.fault = version_fault::fails_under_load;
 	for (setup.seed = 1; setup.seed <= 10; ++setup.seed)
 	{
-		CHECK(play(setup).exposure < exposure_limit);
+		CHECK(simulate_shift(setup).exposure < exposure_limit);
 	}
 }
 
@@ -144,10 +144,10 @@
 	const auto count = [&](const shift_setup& setup, const shift_result& result)
 	{
 		rolled_back += result.state == shift_state::rolled_back ? 1 : 0;
-		CHECK((setup.trouble.loses_registry || result.state != shift_state::running));
+		CHECK((setup.disturbance.loses_registry || result.state != shift_state::running));
 	};
-	each_play(small_deployment(), seeds_of_small, count);
-	each_play(large_deployment(), seeds_of_large, count);
+	for_each_simulation(small_deployment(), seeds_of_small, count);
+	for_each_simulation(large_deployment(), seeds_of_large, count);
 	// One false positive in a hundred is tolerated with failing replicas; these 65 simulated shifts have
 	// none.
 	CHECK(rolled_back == 0);
--- a/tests/emulator/shift_with_faulty_replicas.cpp
+++ b/tests/emulator/shift_with_faulty_replicas.cpp
@@ -23,17 +23,17 @@
 }
 
 /// \param fault Fault of the new version.
-/// \param trouble Disturbance of the old version's replicas.
-void check_never_completed(version_fault fault, const shift_trouble& trouble)
+/// \param disturbance Disturbance of the old version's replicas.
+void check_never_completed(version_fault fault, const shift_disturbance& disturbance)
 {
 	auto setup = middle_deployment();
 	setup.fault = fault;
-	setup.trouble = trouble;
+	setup.disturbance = disturbance;
 	constexpr unsigned seeds = 5;
 	for (setup.seed = 1; setup.seed <= seeds; ++setup.seed)
 	{
 		CAPTURE(name_of(fault), setup.seed);
-		const auto result = play(setup);
+		const auto result = simulate_shift(setup);
 		CHECK(result.state == shift_state::rolled_back);
 		CHECK(result.late_requests == 0);
 	}
@@ -61,11 +61,11 @@
 {
 	shift_setup setup;
 	setup.fault = version_fault::slow;
-	setup.trouble = {.slowed_share = 0.15, .slowed_by = 6, .is_old_only = true, .overload = 8};
+	setup.disturbance = {.slowed_share = 0.15, .slowed_by = 6, .is_old_only = true, .overload = 8};
 	for (setup.seed = 1; setup.seed <= 20; ++setup.seed)
 	{
 		CAPTURE(setup.seed);
-		const auto result = play(setup);
+		const auto result = simulate_shift(setup);
 		CHECK(result.state == shift_state::rolled_back);
 		CHECK(result.late_requests == 0);
 	}
@@ -78,16 +78,16 @@
 TEST_CASE("a version that is bad on one route or late is not completed while old replicas fail",
 	"[emulator][shift]")
 {
-	const shift_trouble failing{.failing_share = 0.5, .failing_rate = 0.5, .is_old_only = true};
+	const shift_disturbance failing{.failing_share = 0.5, .failing_rate = 0.5, .is_old_only = true};
 	for (const auto fault : {version_fault::fails_on_one_route, version_fault::fails_late})
 	{
 		auto setup = middle_deployment();
-		setup.trouble = failing;
+		setup.disturbance = failing;
 		setup.fault = fault;
 		for (setup.seed = 1; setup.seed <= 4; ++setup.seed)
 		{
 			CAPTURE(name_of(fault), setup.seed);
-			const auto result = play(setup);
+			const auto result = simulate_shift(setup);
 			CHECK(result.state == shift_state::rolled_back);
 			CHECK(result.late_requests == 0);
 		}
@@ -97,19 +97,19 @@
 TEST_CASE("with few responses such a version is seldom completed, and gets no more than the exposure limit",
 	"[emulator][shift]")
 {
-	const shift_trouble failing{.failing_share = 0.5, .failing_rate = 0.5, .is_old_only = true};
+	const shift_disturbance failing{.failing_share = 0.5, .failing_rate = 0.5, .is_old_only = true};
 	constexpr double exposure_limit = 0.15;
 	constexpr unsigned seeds = 30;
 	for (const auto fault : {version_fault::fails_on_one_route, version_fault::fails_late})
 	{
 		shift_setup setup;
-		setup.trouble = failing;
+		setup.disturbance = failing;
 		setup.fault = fault;
 		unsigned completed = 0;
 		for (setup.seed = 1; setup.seed <= seeds; ++setup.seed)
 		{
 			CAPTURE(name_of(fault), setup.seed);
-			const auto result = play(setup);
+			const auto result = simulate_shift(setup);
 			completed += result.state == shift_state::completed ? 1 : 0;
 			CHECK(result.late_requests == 0);
 			CHECK(result.exposure < exposure_limit);
@@ -123,17 +123,17 @@
 TEST_CASE(
 	"a good version is completed although the old replicas fail, are slow or overloaded", "[emulator][shift]")
 {
-	const shift_trouble failing{.failing_share = 0.5, .failing_rate = 0.5, .is_old_only = true};
-	const shift_trouble slowed{.slowed_share = 0.5, .slowed_by = 6, .is_old_only = true, .overload = 8};
-	for (const auto& trouble : {failing, slowed})
+	const shift_disturbance failing{.failing_share = 0.5, .failing_rate = 0.5, .is_old_only = true};
+	const shift_disturbance slowed{.slowed_share = 0.5, .slowed_by = 6, .is_old_only = true, .overload = 8};
+	for (const auto& disturbance : {failing, slowed})
 	{
 		for (auto setup : {shift_setup{}, middle_deployment()})
 		{
-			setup.trouble = trouble;
+			setup.disturbance = disturbance;
 			for (setup.seed = 1; setup.seed <= 4; ++setup.seed)
 			{
-				CAPTURE(setup.vms, setup.seed, trouble.overload);
-				CHECK(play(setup).state == shift_state::completed);
+				CAPTURE(setup.vms, setup.seed, disturbance.overload);
+				CHECK(simulate_shift(setup).state == shift_state::completed);
 			}
 		}
 	}
