--- a/emulator/shift_emulator.cpp
+++ b/emulator/shift_emulator.cpp
@@ -170,7 +170,8 @@
 		}
 	}
 
-	/// Disturbances of the old version's replicas only begin with the shift.
+	/// Whether replicas of the old version are disturbed for the rest of the shift; this begins with the
+	/// order.
 	[[nodiscard]] bool is_old_disturbed() const { return setup_.disturbance.is_old_only && now_ >= origin_; }
 
 	[[nodiscard]] bool is_overloaded() const { return setup_.disturbance.overload > 0 && now_ >= origin_; }
@@ -250,7 +251,7 @@
 		++requests_;
 		new_requests_ += is_new ? 1 : 0;
 		const bool is_past_time_limit = is_new && result_.bad_responses >= bad_responses_before_verdict &&
-										now_ - last_below_limit_ > verdict_time_limit &&
+										now_ - bad_limit_reached_at_ > verdict_time_limit &&
 										setup_.fault != version_fault::none;
 		result_.late_requests += is_past_time_limit ? 1 : 0;
 		auto* target = select_engine(vm, is_new ? new_engines_ : old_engines_);
@@ -304,8 +305,8 @@
 		const bool slow_version = is_new && setup_.fault == version_fault::slow;
 		if (is_new && (sample.failed || slow_version))
 		{
-			last_below_limit_ =
-				result_.bad_responses < bad_responses_before_verdict ? now_ : last_below_limit_;
+			bad_limit_reached_at_ =
+				result_.bad_responses < bad_responses_before_verdict ? now_ : bad_limit_reached_at_;
 			++result_.bad_responses;
 		}
 		const auto version = is_new ? new_version : old_version;
@@ -472,7 +473,7 @@
 	std::vector<std::pair<instant, rollout::reported_evidence>> written_rows_;
 	std::uint64_t requests_ = 0;
 	std::uint64_t new_requests_ = 0;
-	instant last_below_limit_;
+	instant bad_limit_reached_at_;
 	shift_result result_;
 };
 } // namespace
--- a/include/gingerdyke/rollout/latency_comparison.hpp
+++ b/include/gingerdyke/rollout/latency_comparison.hpp
@@ -15,15 +15,15 @@
 	/// Minimum number of responses of the old version for a comparison.
 	std::uint64_t min_old_responses = 25;
 
-	/// A response is fast if its latency is at most this multiple of the old version's latency at this
-	/// quantile. Low quantiles reflect the engine's own speed, since they contain little queueing. Cold
-	/// caches add up to half to them; a version that is several times slower exceeds the multiple.
+	/// A response is fast if its latency is at most `fast_factor` times the old version's latency at
+	/// `fast_quantile`. Low quantiles reflect the engine's own speed, since they contain little queueing.
+	/// Cold caches raise them by up to half; a version that is several times slower exceeds the factor.
 	double fast_quantile = 0.25;
 	double fast_factor = 2;
 
-	/// Responses within this multiple of the old version's latency at this quantile are as fast as those of
-	/// an idle engine. Event intervals of idle engines of the same kind differ by a tenth; those of slow
-	/// versions are two to four times as long.
+	/// Responses within `fastest_factor` times the old version's latency at `fastest_quantile` are as fast as
+	/// those of an idle engine. Event intervals of idle engines of the same kind differ by a tenth; those of
+	/// slow versions are two to four times as long.
 	double fastest_quantile = 0.1;
 	double fastest_factor = 1.7;
 
--- a/include/gingerdyke/rollout/permit_owner.hpp
+++ b/include/gingerdyke/rollout/permit_owner.hpp
@@ -81,7 +81,7 @@
 		const version_ref& ref, revision row, const table::table& table, instant now);
 	[[nodiscard]] std::uint32_t grant(
 		trial& trial, std::uint32_t requested_permits, unsigned batch, instant now) const;
-	void judge(trial& trial, const table::version_row& version, permit_owner_step& step) const;
+	void suspend_if_bad(trial& trial, const table::version_row& version, permit_owner_step& step) const;
 	[[nodiscard]] static peer::evidence domain_evidence(const trial& trial);
 	[[nodiscard]] static peer::evidence total_evidence(const trial& trial);
 
--- a/include/gingerdyke/rollout/version_shift.hpp
+++ b/include/gingerdyke/rollout/version_shift.hpp
@@ -76,7 +76,7 @@
 enum class sample_kind
 {
 	/// The first byte of a response arrived.
-	sample,
+	first_byte,
 	/// No byte arrived before the request was abandoned. The sample counts as slow, not as a failure or
 	/// success. Without such samples the slowest responses of a slow version would not count at all.
 	no_response,
@@ -98,7 +98,7 @@
 
 	/// Hash of the replica's incarnation; the same on all VMs.
 	std::uint64_t replica{};
-	sample_kind kind{sample_kind::sample};
+	sample_kind kind{sample_kind::first_byte};
 };
 
 /// \brief Observations of a shift by one VM.
@@ -159,14 +159,14 @@
 	duration proof_deadline = std::chrono::milliseconds{3000};
 
 	/// From this time before the end of a trial, VMs whose observations don't show that the version is good
-	/// write them for the others, at most once per interval. This occurs only with thin traffic, where only
+	/// write them for the others, at most once per interval. This occurs only with low traffic, where only
 	/// the sum over all VMs is conclusive.
 	duration final_report_lead = std::chrono::milliseconds{1200};
 	duration final_report_interval = std::chrono::milliseconds{1000};
 
-	/// A VM that missed a part of the trial waits for this fraction of the shift's length before it rolls
-	/// back a version that is not shown to be good; the maximum wait is the second value, a multiple of that
-	/// length, from the start of the shift.
+	/// Grace period of a VM that missed a part of the trial: before it rolls back a version that is not shown
+	/// to be good, it waits for `late_follower_hold` times the shift's length, but not beyond
+	/// `max_trial_length` times that length after the shift's start.
 	double late_follower_hold = 0.5;
 	double max_trial_length = 2;
 
@@ -346,8 +346,8 @@
 		/// Time at which the new version reached the number of bad responses that starts its proof deadline.
 		std::optional<instant> proof_deadline_start;
 
-		/// VMs whose evidence this VM writes, and those of them with evidence not written yet; empty for this
-		/// VM.
+		/// VMs whose evidence this VM writes, and VMs with evidence that is not written yet; in the latter an
+		/// empty name stands for this VM.
 		std::set<std::string> relayed;
 		std::set<std::string> unwritten;
 
--- a/include/gingerdyke/rollout/version_verdict.hpp
+++ b/include/gingerdyke/rollout/version_verdict.hpp
@@ -8,7 +8,7 @@
 
 namespace gingerdyke::rollout
 {
-/// \brief Tuning of `judge` and `prove`. The defaults allow for thin traffic spread over many VMs, engines of
+/// \brief Tuning of `judge` and `prove`. The defaults allow for low traffic spread over many VMs, engines of
 /// different speed, faulty or slow replicas of either version (up to most of them), and bursts that affect
 /// both versions.
 struct verdict_tuning
@@ -25,17 +25,18 @@
 	/// Minimum number of failures for a verdict.
 	std::uint64_t min_failures = 3;
 
-	/// The tolerated failure ratio of the new version's healthy replicas is this base value plus this
-	/// multiple of the failure ratio of the old version's healthy replicas. Both versions are restricted to
-	/// healthy replicas, since some replicas may fail for a reason of their own: compared with all replicas
-	/// of an old version, half of which failed, a version that failed 40 % of its requests was within the
-	/// tolerated ratio.
+	/// The tolerated failure ratio of the new version's healthy replicas is `tolerated_failures` plus
+	/// `tolerated_factor` times the failure ratio of the old version's healthy replicas. Both versions are
+	/// restricted to healthy replicas, since some replicas may fail for a reason of their own: compared with
+	/// all replicas of an old version, half of which failed, a version that failed 40 % of its requests was
+	/// within the tolerated ratio.
 	double tolerated_failures = 0.09;
 	double tolerated_factor = 1.8;
 
-	/// The base value for the peak-load phase, applied to all replicas; the multiple applies to the ratio of
-	/// the old version or, if higher, to the ratio before this phase. A version that becomes bad late or only
-	/// under load shows it in this phase only, and the phase has few responses.
+	/// Replaces `tolerated_failures` in the peak-load phase, which is evaluated on all replicas;
+	/// `tolerated_factor` then applies to the failure ratio of the old version or, if higher, of the new one
+	/// before this phase. A version that becomes bad late or only under load shows it in this phase only, and
+	/// the phase has few responses.
 	double tolerated_peak_load = 0.04;
 
 	/// Minimum tolerated failure ratio over all replicas and routes together; it is more than a few faulty
@@ -57,7 +58,7 @@
 
 	/// A version is shown to be as good if its failure ratio exceeds the old version's by at most this
 	/// margin, both measured at healthy replicas; a bad version fails 30 % of its requests or more. With a
-	/// smaller margin, thin traffic could not show that a good version is good: this one takes 11 responses
+	/// smaller margin, low traffic could not show that a good version is good: this one takes 11 responses
 	/// without a failure.
 	double noninferiority_margin = 0.25;
 
@@ -68,10 +69,11 @@
 	/// Maximum probability that a version as bad as the margin allows is shown to be good.
 	double max_error_probability = 0.05;
 
-	/// A route or the peak-load phase is doubtful if its healthy replicas show at least this many failures
-	/// and at least this fraction of the tolerated ratio; the version is then not shown to be good. Without
-	/// this check a version that failed on one route only passed in 7 of 40 simulated shifts with an old
-	/// version whose replicas failed too.
+	/// A route or the peak-load phase is doubtful if its healthy replicas show at least
+	/// `min_doubtful_failures` failures and a failure ratio of at least `doubtful_ratio` times the highest
+	/// one of a good version; the version is then not shown to be good. Without this check a version that
+	/// failed on one route only passed in 7 of 40 simulated shifts with an old version whose replicas failed
+	/// too.
 	std::uint64_t min_doubtful_failures = 5;
 	double doubtful_ratio = 0.7;
 };
--- a/src/rollout/latency_comparison.cpp
+++ b/src/rollout/latency_comparison.cpp
@@ -76,25 +76,25 @@
 {
 	// Smooths over adjacent buckets, since few responses leave gaps.
 	constexpr double smoothing = 0.5;
-	bucket_fractions shares{};
+	bucket_fractions fractions{};
 	const auto& counts = latencies.counts();
 	double sum = 0;
-	for (std::size_t bucket = 0; bucket < shares.size(); ++bucket)
+	for (std::size_t bucket = 0; bucket < fractions.size(); ++bucket)
 	{
 		const auto below = bucket == 0 ? 0 : counts[bucket - 1];
 		const auto above = bucket + 1 == counts.size() ? 0 : counts[bucket + 1];
-		shares[bucket] = counts[bucket] + smoothing / 2 * (below + above);
-		sum += shares[bucket];
+		fractions[bucket] = counts[bucket] + smoothing / 2 * (below + above);
+		sum += fractions[bucket];
 	}
-	for (auto& fraction : shares)
+	for (auto& fraction : fractions)
 	{
 		fraction /= std::max(1.0, sum);
 	}
-	return shares;
+	return fractions;
 }
 
 /// Log-likelihood of latencies under the old version's distribution moved by `offset` buckets.
-double log_likelihood(const latency_histogram& responses, const bucket_fractions& old_fractions, int offset)
+double log_likelihood(const latency_histogram& latencies, const bucket_fractions& old_fractions, int offset)
 {
 	constexpr int highest = static_cast<int>(latency_histogram::bucket_count) - 1;
 	bucket_fractions moved{};
@@ -108,7 +108,7 @@
 	{
 		const auto fraction =
 			(1 - unexplained_ratio) * moved[bucket] + unexplained_ratio / double(moved.size());
-		sum += responses.counts()[bucket] * std::log(fraction);
+		sum += latencies.counts()[bucket] * std::log(fraction);
 	}
 	return sum;
 }
--- a/src/rollout/permit_owner.cpp
+++ b/src/rollout/permit_owner.cpp
@@ -73,7 +73,7 @@
 		trial->changes.add(vm_evidence.answers - previous.answers, vm_evidence.failures - previous.failures);
 	}
 	const auto& version = *table.version(request.seen.version);
-	judge(*trial, version, step);
+	suspend_if_bad(*trial, version, step);
 	if (request.wanted == 0 || trial->suspended || version.state != table::version_state::trial)
 	{
 		return step;
@@ -116,7 +116,8 @@
 	return permits;
 }
 
-void permit_owner::judge(trial& trial, const table::version_row& version, permit_owner_step& step) const
+void permit_owner::suspend_if_bad(
+	trial& trial, const table::version_row& version, permit_owner_step& step) const
 {
 	if (trial.suspended)
 	{
@@ -145,7 +146,7 @@
 		return step;
 	}
 	merge(sum.sum, trial->other_domains[sum.failure_domain]);
-	judge(*trial, *table.version(sum.sum.version), step);
+	suspend_if_bad(*trial, *table.version(sum.sum.version), step);
 	return step;
 }
 
--- a/src/rollout/version_shift_evidence.cpp
+++ b/src/rollout/version_shift_evidence.cpp
@@ -21,9 +21,9 @@
 
 latency_evidence& latencies_of(version_evidence& seen, const response_sample& sample)
 {
-	auto& times =
+	auto& latencies =
 		sample.kind == sample_kind::event_interval ? seen.event_intervals_by_model : seen.first_byte_by_model;
-	return times[latency_key(sample)];
+	return latencies[latency_key(sample)];
 }
 
 void add_outcome(const response_sample& sample, response_counts& to)
@@ -32,7 +32,7 @@
 	to.failed += sample.failed ? 1 : 0;
 }
 
-void note_outcome(route_evidence& to, bool is_new, cell_index cell, const response_sample& sample)
+void record_outcome(route_evidence& to, bool is_new, cell_index cell, const response_sample& sample)
 {
 	add_outcome(sample, (is_new ? to.new_version : to.old_version)[cell]);
 }
@@ -171,7 +171,7 @@
 
 void version_shift::record_pre_trial(version_evidence& to, const response_sample& sample)
 {
-	if (sample.kind == sample_kind::sample)
+	if (sample.kind == sample_kind::first_byte)
 	{
 		add_outcome(sample, to.by_route[sample.route].pre_trial);
 	}
@@ -211,18 +211,18 @@
 	const auto cell = cell_of(group, random_below(random_, fold_count));
 	for (auto* to : sums)
 	{
-		if (sample.kind == sample_kind::sample)
+		if (sample.kind == sample_kind::first_byte)
 		{
-			note_outcome(to->by_route[sample.route], is_new, cell, sample);
+			record_outcome(to->by_route[sample.route], is_new, cell, sample);
 			if (is_peak_load_phase)
 			{
-				note_outcome(to->peak_load_phase, is_new, cell, sample);
+				record_outcome(to->peak_load_phase, is_new, cell, sample);
 			}
 		}
 		if (!is_ramping_up && !is_peak_load)
 		{
-			auto& times = latencies_of(*to, sample);
-			(is_new ? times.new_version : times.old_version)[cell].record(sample.relative_latency);
+			auto& latencies = latencies_of(*to, sample);
+			(is_new ? latencies.new_version : latencies.old_version)[cell].record(sample.relative_latency);
 		}
 	}
 }
@@ -299,9 +299,9 @@
 	}
 	evaluate(state);
 	const bool is_trial_over = elapsed_fraction(*state.plan, now) >= schedule_of(*state.plan).trial_ends_at();
-	const bool is_last_look = reads_registry_ && is_trial_over;
+	const bool is_final_check = reads_registry_ && is_trial_over;
 	const auto bound =
-		is_last_look ? tuning_.verdict.end_of_trial_log_evidence : tuning_.verdict.conclusive_log_evidence;
+		is_final_check ? tuning_.verdict.end_of_trial_log_evidence : tuning_.verdict.conclusive_log_evidence;
 	if (state.verdict.evidence > bound)
 	{
 		suspend(state, false);
--- a/src/rollout/version_shift_plans.cpp
+++ b/src/rollout/version_shift_plans.cpp
@@ -181,8 +181,8 @@
 
 duration version_shift::random_delay() const
 {
-	const auto action_jitter = reads_registry_ ? tuning_.action_jitter : tuning_.non_reader_delay;
+	const auto jitter = reads_registry_ ? tuning_.action_jitter : tuning_.non_reader_delay;
 	const auto min_delay = reads_registry_ ? duration{0} : tuning_.non_reader_delay;
-	return min_delay + scaled(action_jitter, random_unit(random_));
+	return min_delay + scaled(jitter, random_unit(random_));
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/version_verdict.cpp
+++ b/src/rollout/version_verdict.cpp
@@ -61,8 +61,8 @@
 version_verdict judge_route(const std::string& route, const route_evidence& seen,
 	const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
-	const auto old_share = healthy_old_failure_ratio(seen, healthy, tuning);
-	const auto tolerated = tuning.tolerated_failures + tuning.tolerated_factor * old_share;
+	const auto old_ratio = healthy_old_failure_ratio(seen, healthy, tuning);
+	const auto tolerated = tuning.tolerated_failures + tuning.tolerated_factor * old_ratio;
 	return judge_failures(route, seen.new_version.sum(healthy.of_new), tolerated, tuning);
 }
 
@@ -81,9 +81,10 @@
 	{
 		const auto* found = before.find(cell);
 		const auto group_counts = found == nullptr ? response_counts{} : *found;
-		const auto share = (static_cast<double>(group_counts.failed) + smoothing_responses * overall_ratio) /
-						   (static_cast<double>(group_counts.responses) + smoothing_responses);
-		expected += share * static_cast<double>(counts.responses);
+		const auto smoothed_ratio =
+			(static_cast<double>(group_counts.failed) + smoothing_responses * overall_ratio) /
+			(static_cast<double>(group_counts.responses) + smoothing_responses);
+		expected += smoothed_ratio * static_cast<double>(counts.responses);
 		responses += static_cast<double>(counts.responses);
 	}
 	return responses > 0 ? expected / responses : overall_ratio;
@@ -119,17 +120,17 @@
 	const auto responses = static_cast<double>(latencies.new_version.size());
 	// A burst during the trial slows both versions, so the limit is the old version's fraction of fast
 	// responses in the same period.
-	const auto fast_share = latencies.old_version.fraction_within(latencies.fast_limit_latency);
+	const auto fast_fraction = latencies.old_version.fraction_within(latencies.fast_limit_latency);
 	const auto slow = responses * (1 - latencies.new_version.fraction_within(latencies.fast_limit_latency));
-	return {responses, slow, responses * (1 - tuning.tolerated_fast * fast_share)};
+	return {responses, slow, responses * (1 - tuning.tolerated_fast * fast_fraction)};
 }
 
 version_verdict judge_slow(const std::string& model, const slow_counts& counts, const verdict_tuning& tuning)
 {
 	const auto responses = static_cast<std::uint64_t>(counts.responses);
 	const auto slow = static_cast<std::uint64_t>(std::lround(counts.slow));
-	const auto share = counts.responses <= 0 ? max_tolerated : counts.tolerated / counts.responses;
-	const auto tolerated = std::clamp(share, min_tolerated, max_tolerated);
+	const auto tolerated_ratio = counts.responses <= 0 ? max_tolerated : counts.tolerated / counts.responses;
+	const auto tolerated = std::clamp(tolerated_ratio, min_tolerated, max_tolerated);
 	version_verdict verdict{verdict_reason::latency, model, responses, slow, tolerated, 0};
 	if (slow >= tuning.min_slow_responses)
 	{
--- a/tests/emulator/shift.cpp
+++ b/tests/emulator/shift.cpp
@@ -88,7 +88,7 @@
 	check_bad(large_deployment(), version_fault::fails_late, seeds);
 }
 
-TEST_CASE("a version that fails is not completed on the few responses of thin traffic", "[emulator][shift]")
+TEST_CASE("a version that fails is not completed on the few responses of low traffic", "[emulator][shift]")
 {
 	auto setup = small_deployment();
 	setup.vms = 6;
