--- a/tests/rollout/latency_histogram.cpp
+++ b/tests/rollout/latency_histogram.cpp
@@ -17,7 +17,7 @@
 	{
 		const auto at = times.quantile(fraction);
 		CHECK(at == Approx(0.2 + fraction * 4).epsilon(0.1));
-		CHECK(times.fraction_within(at) == Approx(fraction).noninferiority_margin(0.001));
+		CHECK(times.fraction_within(at) == Approx(fraction).margin(0.001));
 	}
 }
 
--- a/tests/rollout/version_promotion.cpp
+++ b/tests/rollout/version_promotion.cpp
@@ -14,7 +14,7 @@
 	begin(one);
 	one.see("v1", 200, 0);
 	one.pass(seconds{18});
-	CHECK(measured_share(one) == Approx(0.056).noninferiority_margin(0.002));
+	CHECK(measured_share(one) == Approx(0.056).margin(0.002));
 	one.pass(milliseconds{1000});
 	const auto last = written(one, 12);
 	CHECK(last.state == shift_state::rolled_back);
@@ -48,7 +48,7 @@
 	one.see("v2", 40, 0);
 	one.pass(seconds{12});
 	CHECK(one.shift.due(one.now).empty());
-	CHECK(measured_share(one) == Approx(0.056).noninferiority_margin(0.002));
+	CHECK(measured_share(one) == Approx(0.056).margin(0.002));
 	// Once it reads the registry, it performs the promotion that was left to others.
 	one.shift.set_reads_registry(true);
 	one.see("v2", 1, 0);
--- a/tests/rollout/version_shift.cpp
+++ b/tests/rollout/version_shift.cpp
@@ -35,9 +35,9 @@
 	one.pass(seconds{9});
 	CHECK(measured_share(one) == 0);
 	one.pass(milliseconds{1500});
-	CHECK(measured_share(one) == Approx(0.056).noninferiority_margin(0.002));
+	CHECK(measured_share(one) == Approx(0.056).margin(0.002));
 	one.pass(milliseconds{6500});
-	CHECK(measured_share(one) == Approx(0.056).noninferiority_margin(0.002));
+	CHECK(measured_share(one) == Approx(0.056).margin(0.002));
 	promote(one);
 	one.pass(milliseconds{600});
 	CHECK(measured_share(one) > 0.5);
