--- a/tests/platform/platform.cpp
+++ b/tests/platform/platform.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The adapter: rows and settings decoded, the store's protocol against its stand-in, a VM's control as a
-// whole.
+// The platform adapter: decoding of rows and settings, the registry client against a stand-in registry, and
+// the coordinator of a VM as a whole.
 #include "../support/controlled_vm.hpp"
 #include <settings.hpp>
 
@@ -36,7 +36,7 @@
 }
 } // namespace
 
-TEST_CASE("a configuration becomes routes, services, keys and limits", "[platform]")
+TEST_CASE("a configuration row is decoded into routes, services, keys and limits", "[platform]")
 {
 	const auto read = platform::read_configuration(row_of("config", configuration(7)));
 	REQUIRE(read);
@@ -55,7 +55,7 @@
 	CHECK(catalog.limits().header_bytes == 100);
 }
 
-TEST_CASE("rows that can't be understood give findings with their place", "[platform]")
+TEST_CASE("rows that can't be decoded yield findings that name the row", "[platform]")
 {
 	auto broken = configuration(7);
 	broken.erase("routes");
@@ -68,7 +68,7 @@
 	CHECK_FALSE(platform::read_shift_order(row_of("rollout/x", {{"service", "x"}})));
 }
 
-TEST_CASE("settings: every finding at once, with its place", "[platform][settings]")
+TEST_CASE("all findings about invalid settings are reported at once", "[platform][settings]")
 {
 	const json good{{"vm", "v"}, {"failure_domain", "a"}, {"serve", "127.0.0.1:1"}, {"ready", "127.0.0.1:2"},
 		{"registry", "127.0.0.1:3"}, {"relay", "127.0.0.1:4"}, {"stop_limit_ms", 8000},
@@ -77,10 +77,10 @@
 	const auto read = platform::read_settings(json_source::of_value("f", good));
 	REQUIRE(read);
 	CHECK(read->bounds.revocation_time == std::chrono::milliseconds{4700});
-	CHECK(read->news_limit() == std::chrono::seconds{2});
-	auto evacuating = good;
-	evacuating["evacuation_limit_ms"] = 900;
-	CHECK(platform::read_settings(json_source::of_value("f", evacuating))->news_limit() ==
+	CHECK(read->propagation_limit() == std::chrono::seconds{2});
+	auto with_evacuation = good;
+	with_evacuation["evacuation_limit_ms"] = 900;
+	CHECK(platform::read_settings(json_source::of_value("f", with_evacuation))->propagation_limit() ==
 		  std::chrono::milliseconds{900});
 	auto bad = good;
 	bad["serve"] = 5;
@@ -88,12 +88,12 @@
 	const auto findings = platform::read_settings(json_source::of_value("f", bad));
 	REQUIRE_FALSE(findings);
 	CHECK(findings.error().size() >= 2);
-	auto port = good;
-	port["ready"] = "127.0.0.1:0";
-	CHECK_FALSE(platform::read_settings(json_source::of_value("f", port)));
+	auto bad_port = good;
+	bad_port["ready"] = "127.0.0.1:0";
+	CHECK_FALSE(platform::read_settings(json_source::of_value("f", bad_port)));
 }
 
-TEST_CASE("the registry's client reads tables over several pages, follows, and writes under conditions",
+TEST_CASE("the registry client reads paged tables, follows changes and writes conditionally",
 	"[platform][registry]")
 {
 	proxy::asio::io_context context{1};
@@ -104,15 +104,16 @@
 		registry.put("t", "key/" + std::to_string(i), i);
 	}
 	std::optional<control::store_result<control::row_batch>> batch;
-	const auto take = [&](control::store_result<control::row_batch> result) { batch = std::move(result); };
-	client.read_all("t", take);
+	const auto store_batch = [&](control::store_result<control::row_batch> result)
+	{ batch = std::move(result); };
+	client.read_all("t", store_batch);
 	run_until(context, [&] { return batch.has_value(); });
 	REQUIRE(*batch);
 	CHECK((*batch)->rows.size() == 1200);
 	const auto newest = (*batch)->newest;
 
 	batch.reset();
-	client.follow("t", newest, std::chrono::seconds{10}, take);
+	client.follow("t", newest, std::chrono::seconds{10}, store_batch);
 	registry.remove("t", "key/3");
 	run_until(context, [&] { return batch.has_value(); });
 	REQUIRE(*batch);
@@ -136,18 +137,19 @@
 
 	batch.reset();
 	registry.compact();
-	client.follow("t", newest, std::chrono::seconds{10}, take);
+	client.follow("t", newest, std::chrono::seconds{10}, store_batch);
 	run_until(context, [&] { return batch.has_value(); });
 	CHECK(batch->error() == control::store_error::history_gone);
 
 	batch.reset();
 	registry.fail_with(platform::standin::registry_fault::silent);
-	client.follow("t", newest, std::chrono::milliseconds{10}, take);
+	client.follow("t", newest, std::chrono::milliseconds{10}, store_batch);
 	run_until(context, [&] { return batch.has_value(); });
 	CHECK(batch->error() == control::store_error::unreachable);
 }
 
-TEST_CASE("a VM becomes ready, and a change, a drain and an order reach it", "[platform][control]")
+TEST_CASE("a VM becomes ready and applies configuration changes, drained replicas and shift orders",
+	"[platform][control]")
 {
 	proxy_world world;
 	platform::standin::registry registry{world.context};
@@ -171,8 +173,7 @@
 	world.run_until([&] { return world.gateway().versions().plan_of(service_id{"x"}) != nullptr; });
 }
 
-TEST_CASE("a registry that forgets its history is read again, and one that is away is found again",
-	"[platform][control]")
+TEST_CASE("a VM rereads the registry after lost history and recovers from an outage", "[platform][control]")
 {
 	proxy_world world;
 	platform::standin::registry registry{world.context};
@@ -188,7 +189,7 @@
 	world.run_until([&] { return world.gateway().catalog()->version().value() == 2; });
 }
 
-TEST_CASE("a VM that starts again at its address does not register again", "[platform][control]")
+TEST_CASE("a VM that restarts at the same address does not rewrite its registration", "[platform][control]")
 {
 	proxy_world world;
 	platform::standin::registry registry{world.context};
@@ -203,7 +204,8 @@
 	CHECK(registry.value("gingerdyke", "vm/vm1").at("mark") == 1);
 }
 
-TEST_CASE("what a VM sees of a bad version reaches the registry through its reader", "[platform][control]")
+TEST_CASE(
+	"evidence against a bad version reaches the registry through the VM that reads it", "[platform][control]")
 {
 	proxy_world reader_world;
 	platform::standin::registry registry{reader_world.context};
