--- a/tests/platform/evacuation.cpp
+++ b/tests/platform/evacuation.cpp
@@ -1,49 +1,49 @@
 // SPDX-License-Identifier: MIT
-// An operator's order to send nothing to a failure domain's replicas: in force while its row is there.
+// Evacuation of a failure domain: no requests go to its replicas while the operator's row for it exists.
 #include "../support/registered_replicas.hpp"
 
 using namespace gingerdyke;
 using namespace gingerdyke::test;
 
-TEST_CASE("a failure domain that is evacuated gets no requests until the order is withdrawn",
-	"[platform][evacuation]")
+TEST_CASE(
+	"an evacuated failure domain gets no requests until the order is withdrawn", "[platform][evacuation]")
 {
-	registered_replicas of{{"b", "c"}};
-	of.rows.put("op", "evacuate/b", json::object());
-	of.world.run_until([&] { return of.answered_by("b", 40) == 0; });
-	CHECK(of.answered_by("c", 20) == 20);
-	of.rows.remove("op", "evacuate/b");
-	of.world.run_until([&] { return of.answered_by("b", 40) > 0; });
+	registered_replicas setup{{"b", "c"}};
+	setup.rows.put("op", "evacuate/b", json::object());
+	setup.world.run_until([&] { return setup.answered_by("b", 40) == 0; });
+	CHECK(setup.answered_by("c", 20) == 20);
+	setup.rows.remove("op", "evacuate/b");
+	setup.world.run_until([&] { return setup.answered_by("b", 40) > 0; });
 }
 
 TEST_CASE(
-	"an evacuation that began while a VM was away is in force once it is ready", "[platform][evacuation]")
+	"an evacuation ordered before a VM starts is in effect once the VM is ready", "[platform][evacuation]")
 {
-	registered_replicas of{
-		{"b", "c"}, [](registered_replicas& made) { made.rows.put("op", "evacuate/b", json::object()); }};
-	CHECK(of.answered_by("b", 40) == 0);
+	registered_replicas setup{{"b", "c"},
+		[](registered_replicas& starting) { starting.rows.put("op", "evacuate/b", json::object()); }};
+	CHECK(setup.answered_by("b", 40) == 0);
 }
 
-TEST_CASE("an evacuation that was withdrawn while the registry forgot its history is over",
-	"[platform][evacuation]")
+TEST_CASE(
+	"an evacuation is over if its withdrawal was lost with the registry's history", "[platform][evacuation]")
 {
-	registered_replicas of{{"b", "c"}};
-	of.rows.put("op", "evacuate/b", json::object());
-	of.world.run_until([&] { return of.answered_by("b", 40) == 0; });
-	of.rows.fail_with(platform::standin::registry_fault::unavailable);
-	of.rows.remove("op", "evacuate/b");
-	of.rows.compact();
-	of.rows.fail_with(platform::standin::registry_fault::none);
-	of.world.run_until([&] { return of.answered_by("b", 40) > 0; });
+	registered_replicas setup{{"b", "c"}};
+	setup.rows.put("op", "evacuate/b", json::object());
+	setup.world.run_until([&] { return setup.answered_by("b", 40) == 0; });
+	setup.rows.fail_with(platform::standin::registry_fault::unavailable);
+	setup.rows.remove("op", "evacuate/b");
+	setup.rows.compact();
+	setup.rows.fail_with(platform::standin::registry_fault::none);
+	setup.world.run_until([&] { return setup.answered_by("b", 40) > 0; });
 }
 
-TEST_CASE("where an evacuation leaves no replica of a service, its requests are refused at once as not run",
+TEST_CASE("requests to a service without replicas left by an evacuation are rejected at once as not executed",
 	"[platform][evacuation]")
 {
-	registered_replicas of{{"b", "c"}};
-	of.rows.put("op", "evacuate/c", json::object());
-	of.rows.put("op", "evacuate/b", json::object());
-	of.world.run_until([&] { return of.ask().starts_with("HTTP/1.1 503 "); });
-	CHECK(of.ask().find("Retry-After: ") != std::string::npos);
-	CHECK(of.answered_by("c", 20) == 0);
+	registered_replicas setup{{"b", "c"}};
+	setup.rows.put("op", "evacuate/c", json::object());
+	setup.rows.put("op", "evacuate/b", json::object());
+	setup.world.run_until([&] { return setup.ask().starts_with("HTTP/1.1 503 "); });
+	CHECK(setup.ask().find("Retry-After: ") != std::string::npos);
+	CHECK(setup.answered_by("c", 20) == 0);
 }
--- a/tests/platform/unknown_statements.cpp
+++ b/tests/platform/unknown_statements.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What is said to this program and not known by it: told once each, counted always, bounded.
+// Unknown names in headers, replica rows and operator rows: each is reported once and always counted, and the
+// number of remembered names is bounded.
 #include "../support/controlled_vm.hpp"
 #include <gingerdyke/proxy/replica_statements.hpp>
 #include <gingerdyke/proxy/unknown_statements.hpp>
@@ -9,12 +10,12 @@
 using namespace gingerdyke::test;
 using proxy::statement_source;
 
-TEST_CASE("each unknown name is told once, and the number of names is bounded", "[statements]")
+TEST_CASE("each unknown name is reported once, and the number of remembered names is bounded", "[statements]")
 {
-	std::size_t told = 0;
+	std::size_t reported = 0;
 	proxy::unknown_statements unknown{[&](statement_source, const std::string& name, const std::string&)
 		{
-			++told;
+			++reported;
 			CHECK(name.size() < 100);
 		}};
 	for (int i = 0; i < 1000; ++i)
@@ -22,24 +23,26 @@
 		unknown.note(
 			statement_source::answer, "Server-" + std::to_string(i % 500) + std::string(1000, 'x'), "r1");
 	}
-	CHECK(told == 64);
+	CHECK(reported == 64);
 	CHECK(unknown.count() == 1000);
 	unknown.note(statement_source::replica_entry, "server-0", "r1");
 	CHECK(unknown.count() == 1001);
 }
 
-TEST_CASE("headers of an answer with the platform's prefixes that nobody reads are unknown", "[statements]")
+TEST_CASE(
+	"response headers with the platform's prefixes that the router does not read are unknown", "[statements]")
 {
 	proxy::answer_head head;
 	head.status = 200;
 	head.fields = {{"X-Gingerdyke-Request-Id", "q"}, {"x-gingerdyke-server-stamp", "s"},
 		{"Server-Limit", "2"}, {"Server-Mood", "good"}, {"X-Gingerdyke-New", "1"}, {"Server", "s"},
 		{"X-Other", "1"}, {"X-Gingerdyke-Weight-Versions", "1"}};
-	const auto read = proxy::read_statements(head, platform::header_names(), {});
-	CHECK(read.unknown == std::vector<std::string>{"Server-Mood", "X-Gingerdyke-New"});
+	const auto statements = proxy::read_statements(head, platform::header_names(), {});
+	CHECK(statements.unknown == std::vector<std::string>{"Server-Mood", "X-Gingerdyke-New"});
 }
 
-TEST_CASE("fields of an entry and rows of operators that nobody reads are unknown", "[statements]")
+TEST_CASE(
+	"fields of replica rows and rows of operators that the router does not read are unknown", "[statements]")
 {
 	proxy_world world;
 	platform::standin::registry rows{world.context};
