--- a/soak/statement_judge.cpp
+++ b/soak/statement_judge.cpp
@@ -38,12 +38,12 @@
 	first_told told;
 	for (const auto& one : arrivals)
 	{
-		if (one.said.leaves && was_told(told, one, leave_grace))
+		if (one.said.draining && was_told(told, one, leave_grace))
 		{
 			return {
 				"a replica that said that it leaves gets nothing: " + replica + " through " + one.vm_life};
 		}
-		if (one.said.leaves)
+		if (one.said.draining)
 		{
 			told.try_emplace(one.vm_life, one.at);
 		}
@@ -84,7 +84,7 @@
 {
 	for (const auto& asked : arrivals)
 	{
-		if (!asked.said.rest)
+		if (!asked.said.retry_after)
 		{
 			continue;
 		}
@@ -92,7 +92,7 @@
 			[&](const told_arrival& one)
 			{
 				return one.vm_life == asked.vm_life && one.at > asked.at + under_way &&
-					   one.at < asked.at + *asked.said.rest;
+					   one.at < asked.at + *asked.said.retry_after;
 			});
 		if (static_cast<std::size_t>(during) > most_at_rest)
 		{
--- a/soak/world.cpp
+++ b/soak/world.cpp
@@ -163,7 +163,7 @@
 	constexpr std::chrono::seconds after_kill{4};
 	const bool may_repeat = options_.seed % 2 == 0;
 	const std::string prefix = may_repeat ? standin::repeatable_prefix : standin::once_prefix;
-	const auto path = prefix + standin::crashing_name;
+	const auto path = prefix + standin::crash_path_suffix;
 	history_.crashes({path});
 	std::vector<std::shared_ptr<caller>> repeating;
 	for (const auto& one : vms_)
@@ -274,15 +274,15 @@
 	run_for(until_used);
 	for (std::size_t i = 0; i < said.size(); ++i)
 	{
-		speaking[i]->say(said.at(i),
+		speaking[i]->announce(said.at(i),
 			[this](const std::string& request, const std::string& replica, const statement& what)
 			{ history_.arrived(request, replica, what, proxy::steady_now()); });
 	}
 	run_for(with_registry);
-	registry_.fail_with(standin::registry_fault::unavailable);
+	registry_.set_fault(standin::registry_fault::unavailable);
 	run_for(without_registry);
-	registry_.fail_with(standin::registry_fault::none);
-	std::for_each(speaking.begin(), speaking.end(), [](auto* one) { one->say({}); });
+	registry_.set_fault(standin::registry_fault::none);
+	std::for_each(speaking.begin(), speaking.end(), [](auto* one) { one->announce({}); });
 	await_recovery("after replicas spoke of themselves");
 }
 
--- a/soak/world_faults.cpp
+++ b/soak/world_faults.cpp
@@ -49,13 +49,13 @@
 		begin_with_backends(what);
 		break;
 	case fault_kind::registry_down:
-		registry_.fail_with(standin::registry_fault::unavailable);
+		registry_.set_fault(standin::registry_fault::unavailable);
 		break;
 	case fault_kind::registry_silent:
-		registry_.fail_with(standin::registry_fault::silent);
+		registry_.set_fault(standin::registry_fault::no_response);
 		break;
 	case fault_kind::registry_loses_answers:
-		registry_.fail_with(standin::registry_fault::lost_answers);
+		registry_.set_fault(standin::registry_fault::drop_responses);
 		break;
 	case fault_kind::registry_forgets:
 		registry_.compact();
@@ -103,7 +103,7 @@
 		target.link->set(link_faults.at(what.variant % link_faults.size()));
 		break;
 	case fault_kind::replica_misbehaves:
-		target.replica->misbehave(replica_variants.at(what.variant % replica_variants.size()));
+		target.replica->set_faults(replica_variants.at(what.variant % replica_variants.size()));
 		break;
 	case fault_kind::replica_leaves:
 		// One of each service always stays.
@@ -157,12 +157,12 @@
 		backends_[what.target % backends_.size()]->link->set(link_fault::none);
 		break;
 	case fault_kind::replica_misbehaves:
-		backends_[what.target % backends_.size()]->replica->misbehave({});
+		backends_[what.target % backends_.size()]->replica->set_faults({});
 		break;
 	case fault_kind::registry_down:
 	case fault_kind::registry_silent:
 	case fault_kind::registry_loses_answers:
-		registry_.fail_with(standin::registry_fault::none);
+		registry_.set_fault(standin::registry_fault::none);
 		break;
 	default:
 		break;
@@ -171,7 +171,7 @@
 
 void world::end_all_faults()
 {
-	registry_.fail_with(standin::registry_fault::none);
+	registry_.set_fault(standin::registry_fault::none);
 	for (const auto& one : vms_)
 	{
 		one->process->signal(SIGCONT);
@@ -181,7 +181,7 @@
 	for (const auto& one : backends_)
 	{
 		one->link->set(link_fault::none);
-		one->replica->misbehave({});
+		one->replica->set_faults({});
 	}
 }
 
--- a/tests/platform/evacuation.cpp
+++ b/tests/platform/evacuation.cpp
@@ -30,10 +30,10 @@
 	registered_replicas setup{{"b", "c"}};
 	setup.rows.put("op", "evacuate/b", json::object());
 	setup.world.run_until([&] { return setup.answered_by("b", 40) == 0; });
-	setup.rows.fail_with(platform::standin::registry_fault::unavailable);
+	setup.rows.set_fault(platform::standin::registry_fault::unavailable);
 	setup.rows.remove("op", "evacuate/b");
 	setup.rows.compact();
-	setup.rows.fail_with(platform::standin::registry_fault::none);
+	setup.rows.set_fault(platform::standin::registry_fault::none);
 	setup.world.run_until([&] { return setup.answered_by("b", 40) > 0; });
 }
 
--- a/tests/platform/platform.cpp
+++ b/tests/platform/platform.cpp
@@ -142,7 +142,7 @@
 	CHECK(batch->error() == control::store_error::history_gone);
 
 	batch.reset();
-	registry.fail_with(platform::standin::registry_fault::silent);
+	registry.set_fault(platform::standin::registry_fault::no_response);
 	client.follow("t", newest, std::chrono::milliseconds{10}, store_batch);
 	run_until(context, [&] { return batch.has_value(); });
 	CHECK(batch->error() == control::store_error::unreachable);
@@ -180,12 +180,12 @@
 	registry.put("op", "config", configuration(1));
 	controlled_vm vm{world, registry, "vm1"};
 	world.run_until([&] { return world.gateway().ready(); });
-	registry.fail_with(platform::standin::registry_fault::unavailable);
+	registry.set_fault(platform::standin::registry_fault::unavailable);
 	registry.put("op", "config", configuration(2));
 	world.context.restart();
 	world.context.run_for(std::chrono::milliseconds{30});
 	registry.compact();
-	registry.fail_with(platform::standin::registry_fault::none);
+	registry.set_fault(platform::standin::registry_fault::none);
 	world.run_until([&] { return world.gateway().catalog()->version().value() == 2; });
 }
 
--- a/tests/support/controlled_vm.hpp
+++ b/tests/support/controlled_vm.hpp
@@ -28,7 +28,7 @@
 	controlled_vm(proxy_world& world, const platform::standin::registry& registry, const std::string& name,
 		const routing::address& at)
 		: client(world.context, registry.at()),
-		  coordinator(world.gateway(), client, platform::layout(),
+		  coordinator(world.gateway(), client, platform::make_registry_layout(),
 			  {vm_id{name}, failure_domain_id{"a"}, at, 0}, name + "-1", seeded_random{4})
 	{
 		world.gateway().on_suspicion([this] { coordinator.on_suspicion(); });
