--- a/include/gingerdyke/log/log.hpp
+++ b/include/gingerdyke/log/log.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Structured logs by log4cplus: one JSON object a line. Never a key, never a prompt.
+// Structured logging with log4cplus, one JSON object per line. API keys and prompts must never be logged.
 #pragma once
 
 #include <gingerdyke/base/json_source.hpp>
@@ -7,7 +7,7 @@
 
 namespace gingerdyke::log
 {
-/// \brief How serious a line is.
+/// \brief Severity of a log line.
 enum class level
 {
 	debug,
@@ -17,14 +17,14 @@
 };
 
 /// \brief Starts logging to standard output.
-/// \param lowest `trace`, `debug`, `info`, `warn` or `error`.
-void start(const std::string& lowest);
+/// \param min_level Lowest level that is written: `trace`, `debug`, `info`, `warn` or `error`.
+void start(const std::string& min_level);
 
-/// \brief Ends logging; for the end of the program.
+/// \brief Shuts logging down; to be called at the end of the program.
 void stop();
 
-/// \brief Writes a line.
-/// \param what What happened, in a few words; the same words for the same thing.
-/// \param fields Further members of the line's object.
-void write(level level, const std::string& what, json fields = json::object());
+/// \brief Writes a log line.
+/// \param message Short description of the event, the same for every event of its kind so that it can be
+/// searched for. \param fields Additional members of the JSON object.
+void write(level level, const std::string& message, json fields = json::object());
 } // namespace gingerdyke::log
--- a/include/gingerdyke/metrics/histogram.hpp
+++ b/include/gingerdyke/metrics/histogram.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Histograms with fixed logarithmic bins, by Boost.Accumulators.
+// Histograms with fixed logarithmic bins, based on Boost.Accumulators.
 #pragma once
 
 #include <cstddef>
@@ -9,15 +9,16 @@
 
 namespace gingerdyke::metrics
 {
-/// \brief Counts values by size. All histograms have the same bins, so they can be added up. One without
-/// values takes no memory.
+/// \brief Histogram of durations. All histograms have the same bins, so they can be aggregated. Bins are
+/// allocated with the first value.
 class histogram
 {
   public:
-	/// Smallest and largest value told apart, in microseconds; the bins between grow by a constant factor.
-	static constexpr double lowest = 10;
-	static constexpr double highest = 1e9;
-	static constexpr std::size_t bins = 160;
+	/// Range in microseconds; values outside are counted in the first or last bin. Each bin is wider than the
+	/// previous one by a constant factor.
+	static constexpr double min_value = 10;
+	static constexpr double max_value = 1e9;
+	static constexpr std::size_t bin_count = 160;
 
 	histogram();
 	~histogram();
@@ -35,11 +36,11 @@
 	/// \brief Sum of all values, in microseconds.
 	[[nodiscard]] double sum() const;
 
-	/// \brief The value that a share of all values do not pass, to the width of a bin (12%); 0 without
-	/// values.
-	[[nodiscard]] double quantile(double share) const;
+	/// \brief Returns a quantile, rounded up to the bound of its bin (bins are 12% wide); 0 if there are no
+	/// values. \param fraction Fraction of all values that are at most the result.
+	[[nodiscard]] double quantile(double fraction) const;
 
-	/// \brief Upper bounds of the bins in use with the number of values up to each.
+	/// \brief Upper bounds of the non-empty bins, each with the number of values up to it.
 	[[nodiscard]] std::vector<std::pair<double, std::size_t>> cumulative() const;
 
   private:
--- a/include/gingerdyke/metrics/registry.hpp
+++ b/include/gingerdyke/metrics/registry.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Counters and histograms per workspace and class.
+// Request counters and latency histograms per workspace and request class.
 #pragma once
 
 #include <gingerdyke/base/ids.hpp>
@@ -13,32 +13,33 @@
 
 namespace gingerdyke::metrics
 {
-/// \brief What is measured of one request.
+/// \brief Measurements of one request.
 struct request_sample
 {
 	workspace_id workspace;
 	class_id request_class;
 
-	/// `ran`, `not-run` or `unknown`.
+	/// Whether the request was executed: `ran`, `not-run` or `unknown`.
 	std::string outcome;
 
-	/// From arrival to the end of the answer.
+	/// Time from arrival to the end of the response.
 	duration total{};
 
-	/// From arrival to the first chunk, of a streamed answer.
+	/// Time from arrival to the first chunk; only for streamed responses.
 	std::optional<duration> first_chunk;
 
-	/// Gaps between chunks, of a streamed answer.
+	/// Intervals between chunks; only for streamed responses.
 	std::vector<duration> gaps;
 };
 
-/// \brief All measurements of one process; safe to use from any thread.
+/// \brief Metrics of one process. Thread-safe.
 class registry
 {
   public:
+	/// \brief Adds the measurements of a completed request.
 	void note(const request_sample& sample);
 
-	/// \brief The measurements in the Prometheus text format.
+	/// \brief Returns all metrics in the Prometheus text format.
 	[[nodiscard]] std::string text() const;
 
   private:
--- a/include/gingerdyke/metrics/text_format.hpp
+++ b/include/gingerdyke/metrics/text_format.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The Prometheus text format.
+// Prometheus text exposition format.
 #pragma once
 
 #include <gingerdyke/metrics/histogram.hpp>
@@ -8,15 +8,15 @@
 
 namespace gingerdyke::metrics
 {
-/// \brief Writes the lines that say what a metric is.
+/// \brief Writes the HELP and TYPE lines of a metric.
 /// \param type `counter`, `gauge` or `histogram`.
 void write_head(std::ostream& out, const std::string& name, const std::string& type, const std::string& help);
 
-/// \brief Writes one label, its value escaped as the format asks.
+/// \brief Formats one label as `name="value"`, with the value escaped.
 [[nodiscard]] std::string write_label(const std::string& name, const std::string& value);
 
-/// \brief Writes a histogram's lines, in seconds.
-/// \param labels Labels as `write_label` gives them, with commas between.
+/// \brief Writes the bucket, sum and count lines of a histogram whose values are in microseconds; the output
+/// is in seconds. \param labels Labels formatted by `write_label`, separated by commas.
 void write_histogram(
 	std::ostream& out, const std::string& name, const std::string& labels, const histogram& values);
 } // namespace gingerdyke::metrics
--- a/src/log/line_appender.cpp
+++ b/src/log/line_appender.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Writes lines to a descriptor without ever waiting for its reader.
+// log4cplus appender that writes lines to a file descriptor without blocking.
 #include "line_appender.hpp"
 
 #include <climits>
@@ -11,8 +11,9 @@
 {
 namespace
 {
-/// A pipe that can be written to takes this many bytes at once; a longer line might wait.
-constexpr std::size_t longest_line = PIPE_BUF;
+/// Writes to a pipe of up to PIPE_BUF bytes are atomic, and poll() reports POLLOUT only if they don't block;
+/// a longer line might block.
+constexpr std::size_t max_line_bytes = PIPE_BUF;
 } // namespace
 
 line_appender::~line_appender()
@@ -24,9 +25,9 @@
 {
 	if (dropped_ > 0)
 	{
-		const auto told = R"({"level":"warn","lines":)" + std::to_string(dropped_) +
-						  R"(,"what":"log lines dropped"})" + "\n";
-		if (!write_line(told))
+		const auto report = R"({"level":"warn","lines":)" + std::to_string(dropped_) +
+							R"(,"what":"log lines dropped"})" + "\n";
+		if (!write_line(report))
 		{
 			++dropped_;
 			return;
@@ -41,9 +42,9 @@
 
 bool line_appender::write_line(const std::string& line)
 {
-	pollfd ready{descriptor_, POLLOUT, 0};
-	const bool has_room = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0;
-	return has_room && line.size() <= longest_line &&
+	pollfd poll_entry{descriptor_, POLLOUT, 0};
+	const bool is_writable = ::poll(&poll_entry, 1, 0) == 1 && (poll_entry.revents & POLLOUT) != 0;
+	return is_writable && line.size() <= max_line_bytes &&
 		   ::write(descriptor_, line.data(), line.size()) == static_cast<ssize_t>(line.size());
 }
 } // namespace gingerdyke::log
--- a/src/log/line_appender.hpp
+++ b/src/log/line_appender.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Writes lines to a descriptor without ever waiting for its reader.
+// log4cplus appender that writes lines to a file descriptor without blocking.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,8 @@
 
 namespace gingerdyke::log
 {
-/// \brief An appender for log4cplus. A line that can't be written at once is dropped and counted; the next
-/// line that can be written is preceded by one that tells how many.
+/// \brief Writes each log event as one line. A line that can't be written without blocking is dropped and
+/// counted; before the next line that can be written, a line with the number of dropped lines is written.
 class line_appender : public log4cplus::Appender
 {
   public:
@@ -17,7 +17,7 @@
 
 	void close() override { closed = true; }
 
-	/// \brief Lines dropped and not told yet.
+	/// \brief Number of dropped lines that have not been reported yet.
 	[[nodiscard]] std::uint64_t dropped() const noexcept { return dropped_; }
 
   protected:
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Structured logs by log4cplus.
+// Structured logging with log4cplus.
 #include "line_appender.hpp"
 
 #include <chrono>
@@ -14,13 +14,13 @@
 {
 namespace
 {
-std::unique_ptr<log4cplus::Initializer>& initializer()
+std::unique_ptr<log4cplus::Initializer>& log4cplus_initializer()
 {
 	static std::unique_ptr<log4cplus::Initializer> instance;
 	return instance;
 }
 
-log4cplus::LogLevel level_of(const std::string& name)
+log4cplus::LogLevel parse_level(const std::string& name)
 {
 	return log4cplus::getLogLevelManager().fromString(LOG4CPLUS_STRING_TO_TSTRING(name));
 }
@@ -41,24 +41,24 @@
 }
 } // namespace
 
-void start(const std::string& lowest)
+void start(const std::string& min_level)
 {
-	initializer() = std::make_unique<log4cplus::Initializer>();
+	log4cplus_initializer() = std::make_unique<log4cplus::Initializer>();
 	const log4cplus::SharedAppenderPtr appender{new line_appender{STDOUT_FILENO}};
 	auto logger = log4cplus::Logger::getInstance(LOG4CPLUS_TEXT("gingerdyke"));
 	logger.addAppender(appender);
-	logger.setLogLevel(level_of(upper_case(lowest)));
+	logger.setLogLevel(parse_level(upper_case(min_level)));
 	logger.setAdditivity(false);
 }
 
 void stop()
 {
-	initializer().reset();
+	log4cplus_initializer().reset();
 }
 
-void write(level level, const std::string& what, json fields)
+void write(level level, const std::string& message, json fields)
 {
-	if (!initializer())
+	if (!log4cplus_initializer())
 	{
 		return;
 	}
@@ -73,7 +73,7 @@
 	}
 	fields["time"] = unix_seconds();
 	fields["level"] = names.at(index);
-	fields["what"] = what;
+	fields["what"] = message;
 	const auto line = fields.dump(-1, ' ', false, json::error_handler_t::replace);
 	logger.forcedLog(levels.at(index), LOG4CPLUS_STRING_TO_TSTRING(line));
 }
--- a/src/metrics/histogram.cpp
+++ b/src/metrics/histogram.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Histograms with fixed logarithmic bins, by Boost.Accumulators.
+// Histograms with fixed logarithmic bins, based on Boost.Accumulators.
 #include <algorithm>
 #include <boost/accumulators/accumulators.hpp>
 #include <boost/accumulators/statistics/density.hpp>
@@ -14,7 +14,8 @@
 
 namespace
 {
-/// The density statistic takes its bins from its first values: they are given the two bounds.
+/// The density statistic derives its bins from the first values it gets, so each histogram starts with the
+/// two bounds of the range.
 constexpr std::size_t priming_values = 2;
 } // namespace
 
@@ -24,11 +25,11 @@
 
 	impl()
 	{
-		logs(std::log10(lowest));
-		logs(std::log10(highest));
+		logarithms(std::log10(min_value));
+		logarithms(std::log10(max_value));
 	}
 
-	set logs{acc::density_cache_size = priming_values, acc::density_num_bins = bins};
+	set logarithms{acc::density_cache_size = priming_values, acc::density_num_bins = bin_count};
 	double sum{};
 	std::size_t count{};
 };
@@ -44,7 +45,7 @@
 	{
 		impl_ = std::make_unique<impl>();
 	}
-	impl_->logs(std::log10(std::clamp(value, lowest, highest)));
+	impl_->logarithms(std::log10(std::clamp(value, min_value, max_value)));
 	impl_->sum += value;
 	++impl_->count;
 }
@@ -66,21 +67,22 @@
 	{
 		return result;
 	}
-	const auto density = acc::density(impl_->logs);
-	const auto all = static_cast<double>(impl_->count + priming_values);
-	// The bounds that primed the bins stand in the first and in the last bin of the range.
-	const auto has_lowest = [&](std::size_t i) { return i == 1; };
+	const auto density = acc::density(impl_->logarithms);
+	const auto total_count = static_cast<double>(impl_->count + priming_values);
+	// The two priming values are counted in the first and the last bin of the range and have to be left out.
+	// The one in the last bin is left out by the limit to `count`.
+	const auto holds_min_value = [&](std::size_t i) { return i == 1; };
 	std::size_t sum = 0;
 	const auto size = static_cast<std::size_t>(density.size());
 	for (std::size_t i = 0; i < size; ++i)
 	{
-		auto here =
-			static_cast<std::size_t>(std::llround(density[static_cast<std::ptrdiff_t>(i)].second * all));
-		here -= has_lowest(i) && here > 0 ? 1 : 0;
-		sum = std::min(impl_->count, sum + here);
+		auto bin_values = static_cast<std::size_t>(
+			std::llround(density[static_cast<std::ptrdiff_t>(i)].second * total_count));
+		bin_values -= holds_min_value(i) && bin_values > 0 ? 1 : 0;
+		sum = std::min(impl_->count, sum + bin_values);
 		const auto upper =
-			i + 1 < size ? density[static_cast<std::ptrdiff_t>(i + 1)].first : std::log10(highest);
-		if (here > 0)
+			i + 1 < size ? density[static_cast<std::ptrdiff_t>(i + 1)].first : std::log10(max_value);
+		if (bin_values > 0)
 		{
 			result.emplace_back(std::pow(10.0, upper), sum);
 		}
@@ -88,14 +90,14 @@
 	return result;
 }
 
-double histogram::quantile(double share) const
+double histogram::quantile(double fraction) const
 {
-	const auto wanted = share * static_cast<double>(count());
+	const auto rank = fraction * static_cast<double>(count());
 	double last = 0;
 	for (const auto& [upper, count] : cumulative())
 	{
 		last = upper;
-		if (static_cast<double>(count) >= wanted)
+		if (static_cast<double>(count) >= rank)
 		{
 			return upper;
 		}
--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Counters and histograms per workspace and class.
+// Request counters and latency histograms per workspace and request class.
 #include <gingerdyke/metrics/registry.hpp>
 #include <gingerdyke/metrics/text_format.hpp>
 #include <sstream>
@@ -50,12 +50,12 @@
 		{"gingerdyke_first_chunk_seconds", &entry::first_chunk},
 		{"gingerdyke_between_chunks_seconds", &entry::between_chunks},
 	};
-	for (const auto& [name, part] : histograms)
+	for (const auto& [name, member_histogram] : histograms)
 	{
 		write_head(out, name, "histogram", "Times in seconds.");
 		for (const auto& [key, entry] : entries_)
 		{
-			write_histogram(out, name, labels_of(key.first, key.second), entry.*part);
+			write_histogram(out, name, labels_of(key.first, key.second), entry.*member_histogram);
 		}
 	}
 	return out.str();
--- a/src/metrics/text_format.cpp
+++ b/src/metrics/text_format.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The Prometheus text format.
+// Prometheus text exposition format.
 #include <gingerdyke/metrics/text_format.hpp>
 
 namespace gingerdyke::metrics
--- a/tests/log/line_appender.cpp
+++ b/tests/log/line_appender.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Log lines never wait for whoever reads them.
+// Writing log lines never blocks, even if nothing reads them.
 #include "../../src/log/line_appender.hpp"
 
 #include <array>
@@ -13,7 +13,7 @@
 
 namespace
 {
-/// A pipe with the appender at its writing end.
+/// A pipe with the appender at its write end.
 struct piped_appender
 {
 	piped_appender()
@@ -35,7 +35,7 @@
 		appender->doAppend(event);
 	}
 
-	/// What is in the pipe now.
+	/// Reads the current contents of the pipe.
 	std::string read()
 	{
 		std::string all(1U << 20U, '\0');
@@ -49,7 +49,7 @@
 };
 } // namespace
 
-TEST_CASE("a line is written as it is", "[log]")
+TEST_CASE("a line is written unchanged", "[log]")
 {
 	piped_appender log;
 	log.write("{\"what\":\"a\"}");
@@ -57,11 +57,12 @@
 	CHECK(log.appender->dropped() == 0);
 }
 
-TEST_CASE("lines that nobody reads are dropped without waiting, and told when there is room again", "[log]")
+TEST_CASE("lines that would block are dropped, and their number is reported when the pipe is writable again",
+	"[log]")
 {
 	piped_appender log;
 	const std::string line(1000, 'x');
-	// More than any pipe holds: a writer that waits would never come back.
+	// More bytes than any pipe buffers: a blocking write would never return.
 	constexpr int lines = 5000;
 	for (int i = 0; i < lines; ++i)
 	{
@@ -77,7 +78,7 @@
 	CHECK(log.appender->dropped() == 0);
 }
 
-TEST_CASE("a line longer than a pipe takes at once is dropped and told", "[log]")
+TEST_CASE("a line longer than an atomic pipe write is dropped and reported", "[log]")
 {
 	piped_appender log;
 	log.write(std::string(100000, 'x'));
--- a/tests/metrics/histogram.cpp
+++ b/tests/metrics/histogram.cpp
@@ -5,7 +5,7 @@
 
 using namespace gingerdyke;
 
-TEST_CASE("quantiles are right to the width of a bin", "[histogram]")
+TEST_CASE("quantiles are accurate to the width of a bin", "[histogram]")
 {
 	metrics::histogram values;
 	for (int i = 1; i <= 10'000; ++i)
@@ -18,7 +18,7 @@
 	CHECK(values.cumulative().back().second == 10'000);
 }
 
-TEST_CASE("an empty histogram and values out of range are no trouble", "[histogram]")
+TEST_CASE("an empty histogram has no bins, and values out of range are counted", "[histogram]")
 {
 	metrics::histogram values;
 	CHECK(values.quantile(0.5) == 0);
