--- a/include/gingerdyke/metrics/histogram.hpp
+++ b/include/gingerdyke/metrics/histogram.hpp
@@ -41,7 +41,7 @@
 	[[nodiscard]] double quantile(double fraction) const;
 
 	/// \brief Upper bounds of the non-empty bins, each with the number of values up to it.
-	[[nodiscard]] std::vector<std::pair<double, std::size_t>> cumulative() const;
+	[[nodiscard]] std::vector<std::pair<double, std::size_t>> cumulative_counts() const;
 
   private:
 	struct impl;
--- a/include/gingerdyke/metrics/registry.hpp
+++ b/include/gingerdyke/metrics/registry.hpp
@@ -29,7 +29,7 @@
 	std::optional<duration> first_chunk;
 
 	/// Intervals between chunks; only for streamed responses.
-	std::vector<duration> gaps;
+	std::vector<duration> chunk_intervals;
 };
 
 /// \brief Metrics of one process. Thread-safe.
@@ -37,10 +37,10 @@
 {
   public:
 	/// \brief Adds the measurements of a completed request.
-	void note(const request_sample& sample);
+	void record(const request_sample& sample);
 
 	/// \brief Returns all metrics in the Prometheus text format.
-	[[nodiscard]] std::string text() const;
+	[[nodiscard]] std::string prometheus_text() const;
 
   private:
 	using key = std::pair<workspace_id, class_id>;
--- a/include/gingerdyke/metrics/text_format.hpp
+++ b/include/gingerdyke/metrics/text_format.hpp
@@ -10,7 +10,8 @@
 {
 /// \brief Writes the HELP and TYPE lines of a metric.
 /// \param type `counter`, `gauge` or `histogram`.
-void write_head(std::ostream& out, const std::string& name, const std::string& type, const std::string& help);
+void write_header(
+	std::ostream& out, const std::string& name, const std::string& type, const std::string& help);
 
 /// \brief Formats one label as `name="value"`, with the value escaped.
 [[nodiscard]] std::string write_label(const std::string& name, const std::string& value);
--- a/src/http/operator_routes.cpp
+++ b/src/http/operator_routes.cpp
@@ -104,7 +104,7 @@
 
 	void get_metrics(httplib::Response& response) const
 	{
-		response.set_content(metrics_.text(), "text/plain; version=0.0.4");
+		response.set_content(metrics_.prometheus_text(), "text/plain; version=0.0.4");
 	}
 
 	void explain(const httplib::Request& request, httplib::Response& response) const
--- a/src/http/request_runner.cpp
+++ b/src/http/request_runner.cpp
@@ -97,7 +97,7 @@
 		}
 		else
 		{
-			sample_.gaps.push_back(since(*last_chunk_));
+			sample_.chunk_intervals.push_back(since(*last_chunk_));
 		}
 		last_chunk_ = clock::now();
 		return hooks.pass(data);
@@ -117,7 +117,7 @@
 	sample_.request_class = facts.request_class;
 	sample_.outcome = node::name_of(facts.ran);
 	sample_.total = since(started_);
-	parts_.metrics.note(sample_);
+	parts_.metrics.record(sample_);
 	const bool ran = facts.ran == node::outcome::ran;
 	log::write(ran ? log::level::info : log::level::warn, "request",
 		{{"request", request.arrival.id.str()}, {"workspace", facts.workspace.str()},
--- a/src/metrics/histogram.cpp
+++ b/src/metrics/histogram.cpp
@@ -60,7 +60,7 @@
 	return impl_ ? impl_->sum : 0;
 }
 
-std::vector<std::pair<double, std::size_t>> histogram::cumulative() const
+std::vector<std::pair<double, std::size_t>> histogram::cumulative_counts() const
 {
 	std::vector<std::pair<double, std::size_t>> result;
 	if (!impl_)
@@ -94,7 +94,7 @@
 {
 	const auto rank = fraction * static_cast<double>(count());
 	double last = 0;
-	for (const auto& [upper, count] : cumulative())
+	for (const auto& [upper, count] : cumulative_counts())
 	{
 		last = upper;
 		if (static_cast<double>(count) >= rank)
--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -14,7 +14,7 @@
 }
 } // namespace
 
-void registry::note(const request_sample& sample)
+void registry::record(const request_sample& sample)
 {
 	const std::lock_guard lock{mutex_};
 	auto& entry = entries_[{sample.workspace, sample.request_class}];
@@ -24,17 +24,17 @@
 	{
 		entry.first_chunk.add(static_cast<double>(sample.first_chunk->count()));
 	}
-	for (const auto gap : sample.gaps)
+	for (const auto interval : sample.chunk_intervals)
 	{
-		entry.between_chunks.add(static_cast<double>(gap.count()));
+		entry.between_chunks.add(static_cast<double>(interval.count()));
 	}
 }
 
-std::string registry::text() const
+std::string registry::prometheus_text() const
 {
 	const std::lock_guard lock{mutex_};
 	std::ostringstream out;
-	write_head(out, "gingerdyke_requests_total", "counter", "Requests by how they ended.");
+	write_header(out, "gingerdyke_requests_total", "counter", "Requests by how they ended.");
 	for (const auto& [key, entry] : entries_)
 	{
 		const auto labels = labels_of(key.first, key.second);
@@ -52,7 +52,7 @@
 	};
 	for (const auto& [name, member_histogram] : histograms)
 	{
-		write_head(out, name, "histogram", "Times in seconds.");
+		write_header(out, name, "histogram", "Times in seconds.");
 		for (const auto& [key, entry] : entries_)
 		{
 			write_histogram(out, name, labels_of(key.first, key.second), entry.*member_histogram);
--- a/src/metrics/text_format.cpp
+++ b/src/metrics/text_format.cpp
@@ -9,7 +9,8 @@
 constexpr double microseconds_per_second = 1e6;
 } // namespace
 
-void write_head(std::ostream& out, const std::string& name, const std::string& type, const std::string& help)
+void write_header(
+	std::ostream& out, const std::string& name, const std::string& type, const std::string& help)
 {
 	out << "# HELP " << name << " " << help << "\n# TYPE " << name << " " << type << "\n";
 }
@@ -27,7 +28,7 @@
 void write_histogram(
 	std::ostream& out, const std::string& name, const std::string& labels, const histogram& values)
 {
-	for (const auto& [upper, count] : values.cumulative())
+	for (const auto& [upper, count] : values.cumulative_counts())
 	{
 		out << name << "_bucket{" << labels << ",le=\"" << upper / microseconds_per_second << "\"} " << count
 			<< "\n";
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -280,55 +280,55 @@
 void gateway::write_metrics(std::ostream& out, instant now)
 {
 	constexpr double microseconds_per_second = 1e6;
-	metrics::write_head(
+	metrics::write_header(
 		out, "gingerdyke_configuration_version", "gauge", "Configuration in force; 0: none yet.");
 	out << "gingerdyke_configuration_version " << (catalog_ ? catalog_->version().value() : 0) << "\n";
 	if (const auto age = confirmed_age(now))
 	{
-		metrics::write_head(out, "gingerdyke_configuration_age_seconds", "gauge",
+		metrics::write_header(out, "gingerdyke_configuration_age_seconds", "gauge",
 			"Time since the configuration was last known to be the newest.");
 		out << "gingerdyke_configuration_age_seconds "
 			<< static_cast<double>(age->count()) / microseconds_per_second << "\n";
 	}
 	if (const auto age = replicas_age(now))
 	{
-		metrics::write_head(out, "gingerdyke_replicas_age_seconds", "gauge",
+		metrics::write_header(out, "gingerdyke_replicas_age_seconds", "gauge",
 			"Time since the table of replicas was last known to be the newest.");
 		out << "gingerdyke_replicas_age_seconds "
 			<< static_cast<double>(age->count()) / microseconds_per_second << "\n";
 	}
-	metrics::write_head(out, "gingerdyke_replicas_suspected", "gauge",
+	metrics::write_header(out, "gingerdyke_replicas_suspected", "gauge",
 		"Replicas whose entries are missing and that are not taken as gone yet.");
 	out << "gingerdyke_replicas_suspected " << replicas_.suspected_count() << "\n";
-	metrics::write_head(out, "gingerdyke_replicas_cold", "gauge", "Replicas that count as cold.");
+	metrics::write_header(out, "gingerdyke_replicas_cold", "gauge", "Replicas that count as cold.");
 	out << "gingerdyke_replicas_cold " << cold_replicas_.cold_count(now) << "\n";
-	metrics::write_head(out, "gingerdyke_replicas_limited", "gauge",
+	metrics::write_header(out, "gingerdyke_replicas_limited", "gauge",
 		"Replicas that name a limit of their load in their answers.");
 	out << "gingerdyke_replicas_limited " << announced_.size() << "\n";
-	metrics::write_head(
+	metrics::write_header(
 		out, "gingerdyke_replicas_resting", "gauge", "Replicas that want nothing from this VM for a time.");
 	out << "gingerdyke_replicas_resting " << resting_.count(now) << "\n";
-	metrics::write_head(out, "gingerdyke_failure_domains_evacuated", "gauge",
+	metrics::write_header(out, "gingerdyke_failure_domains_evacuated", "gauge",
 		"Failure domains whose replicas get nothing by an operator's order.");
 	out << "gingerdyke_failure_domains_evacuated " << evacuated_.size() << "\n";
-	metrics::write_head(out, "gingerdyke_replicas", "gauge", "Replicas known.");
+	metrics::write_header(out, "gingerdyke_replicas", "gauge", "Replicas known.");
 	out << "gingerdyke_replicas " << replicas_.size() << "\n";
-	metrics::write_head(out, "gingerdyke_replica_ends_total", "counter",
+	metrics::write_header(out, "gingerdyke_replica_ends_total", "counter",
 		"Replicas whose process ended while this VM had requests there, or before one was sent.");
 	out << "gingerdyke_replica_ends_total " << replica_ends_ << "\n";
-	metrics::write_head(out, "gingerdyke_replica_statements_unreadable_total", "counter",
+	metrics::write_header(out, "gingerdyke_replica_statements_unreadable_total", "counter",
 		"Answers in which a replica says something of itself that can't be read.");
 	out << "gingerdyke_replica_statements_unreadable_total " << unreadable_statements_ << "\n";
-	metrics::write_head(out, "gingerdyke_statements_unknown_total", "counter",
+	metrics::write_header(out, "gingerdyke_statements_unknown_total", "counter",
 		"Statements of replicas, their entries and operators that are not known.");
 	out << "gingerdyke_statements_unknown_total " << unknown_.count() << "\n";
-	metrics::write_head(
+	metrics::write_header(
 		out, "gingerdyke_requests_suspected", "gauge", "Requests under which replicas ended.");
 	out << "gingerdyke_requests_suspected " << suspects_.size() << "\n";
-	metrics::write_head(
+	metrics::write_header(
 		out, "gingerdyke_requests_held", "gauge", "Of these, requests that are sent to no replica any more.");
 	out << "gingerdyke_requests_held " << suspects_.held_count(now) << "\n";
-	metrics::write_head(out, "gingerdyke_further_attempts_left", "gauge",
+	metrics::write_header(out, "gingerdyke_further_attempts_left", "gauge",
 		"Attempts beyond the first that a service's budget allows now.");
 	for (auto& [service, budget] : budgets_)
 	{
--- a/src/proxy/request_log.cpp
+++ b/src/proxy/request_log.cpp
@@ -61,7 +61,7 @@
 {
 	std::ostringstream out;
 	metrics_.write(out);
-	metrics::write_head(
+	metrics::write_header(
 		out, "gingerdyke_log_lines_left_out_total", "counter", "Request lines left out because of the rate.");
 	out << "gingerdyke_log_lines_left_out_total " << left_out_ << "\n";
 	return out.str();
--- a/src/proxy/request_metrics.cpp
+++ b/src/proxy/request_metrics.cpp
@@ -8,7 +8,7 @@
 {
 namespace
 {
-using metrics::write_head;
+using metrics::write_header;
 using metrics::write_histogram;
 using metrics::write_label;
 
@@ -63,22 +63,22 @@
 
 void request_metrics::write(std::ostream& out) const
 {
-	write_head(out, "gingerdyke_requests_total", "counter", "Requests by how they ended.");
+	write_header(out, "gingerdyke_requests_total", "counter", "Requests by how they ended.");
 	write_counter(out, "gingerdyke_requests_total", "outcome", outcomes_);
-	write_head(
+	write_header(
 		out, "gingerdyke_request_failures_total", "counter", "Requests that were not served, by reason.");
 	write_counter(out, "gingerdyke_request_failures_total", "reason", reasons_);
-	write_head(out, "gingerdyke_workspace_request_seconds", "histogram",
+	write_header(out, "gingerdyke_workspace_request_seconds", "histogram",
 		"Time from arrival to the end of the answer, by workspace; empty: no key needed.");
 	write_times(out, "gingerdyke_workspace_request_seconds", "workspace", by_workspace_, &times::total);
-	write_head(out, "gingerdyke_workspace_first_byte_seconds", "histogram",
+	write_header(out, "gingerdyke_workspace_first_byte_seconds", "histogram",
 		"Time from arrival to the first byte passed on, by workspace.");
 	write_times(
 		out, "gingerdyke_workspace_first_byte_seconds", "workspace", by_workspace_, &times::first_byte);
-	write_head(out, "gingerdyke_route_request_seconds", "histogram",
+	write_header(out, "gingerdyke_route_request_seconds", "histogram",
 		"Time from arrival to the end of the answer, by route.");
 	write_times(out, "gingerdyke_route_request_seconds", "route", by_route_, &times::total);
-	write_head(out, "gingerdyke_route_first_byte_seconds", "histogram",
+	write_header(out, "gingerdyke_route_first_byte_seconds", "histogram",
 		"Time from arrival to the first byte passed on, by route.");
 	write_times(out, "gingerdyke_route_first_byte_seconds", "route", by_route_, &times::first_byte);
 }
