--- a/include/gingerdyke/base/boot_clock.hpp
+++ b/include/gingerdyke/base/boot_clock.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The one clock that times are measured with: it goes on while the machine is suspended.
+// The clock for all time measurements. It keeps advancing while the machine is suspended.
 #pragma once
 
 #include <chrono>
@@ -7,14 +7,14 @@
 
 namespace gingerdyke
 {
-/// \brief Reads a clock. Tests put their own in place of the system's.
+/// \brief Function that reads a clock. Tests replace the system's clock.
 using time_source = std::chrono::nanoseconds (*)() noexcept;
 
-/// \brief Where `boot_clock` reads: `CLOCK_BOOTTIME`, unless a test has put another source there.
+/// \brief The time source of `boot_clock`: `CLOCK_BOOTTIME`, unless a test has replaced it.
 [[nodiscard]] time_source& boot_time_source() noexcept;
 
-/// \brief The time since the machine's start, suspensions included. The steady clock leaves these out: a VM
-/// that had slept for seconds took keys, configuration and leaving replicas for as young as before.
+/// \brief Time since boot, including time spent suspended. `std::chrono::steady_clock` excludes that time: a
+/// VM suspended for seconds would treat its keys, configuration and replica list as no older than before.
 struct boot_clock
 {
 	using duration = std::chrono::nanoseconds;
@@ -26,10 +26,10 @@
 	[[nodiscard]] static time_point now() noexcept { return time_point{boot_time_source()()}; }
 };
 
-/// \brief The clock's time as the state machines count it.
+/// \brief Current time of `boot_clock` as an `instant` for the state machines.
 [[nodiscard]] inline instant steady_now() noexcept
 {
-	const auto since = boot_clock::now().time_since_epoch();
-	return instant{std::chrono::duration_cast<duration>(since)};
+	const auto since_boot = boot_clock::now().time_since_epoch();
+	return instant{std::chrono::duration_cast<duration>(since_boot)};
 }
 } // namespace gingerdyke
--- a/include/gingerdyke/base/effect.hpp
+++ b/include/gingerdyke/base/effect.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What the state machines ask of their host towards other VMs and the platform.
+// Actions that the state machines request from their host: messages to other VMs and calls to the platform.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 namespace gingerdyke
 {
-/// \brief Send a message to a peer; it may be lost.
+/// \brief Send a message to a peer. Delivery is not guaranteed.
 struct send_peer
 {
 	vm_id to;
 	peer::message body;
 };
 
-/// \brief The state machine that a platform answer goes back to.
+/// \brief State machine that issued a platform call and receives its response.
 enum class call_owner
 {
 	table_reader,
@@ -29,7 +29,7 @@
 	rollout,
 };
 
-/// \brief Names one platform call within a process.
+/// \brief Identifies a platform call; unique within a process.
 struct call_id
 {
 	call_owner owner{};
@@ -38,7 +38,7 @@
 	auto operator<=>(const call_id&) const = default;
 };
 
-/// \brief Run a transaction at the table service.
+/// \brief Execute a transaction on the table service.
 struct call_store
 {
 	call_id id;
@@ -46,12 +46,12 @@
 	store::transaction body;
 };
 
-/// \brief Read the platform's list of VMs.
+/// \brief Fetch the platform's list of VMs.
 struct fetch_members
 {
 };
 
-/// \brief Effects common to all state machines.
+/// \brief Actions that any state machine may request.
 using effect = std::variant<send_peer, call_store, fetch_members>;
 using effects = std::vector<effect>;
 } // namespace gingerdyke
--- a/include/gingerdyke/base/finding.hpp
+++ b/include/gingerdyke/base/finding.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Findings: what is wrong with an input, each with its place, collected and reported together.
+// Findings: errors in an input, each with its location, collected so that all are reported at once.
 #pragma once
 
 #include <string>
@@ -8,35 +8,35 @@
 
 namespace gingerdyke
 {
-/// \brief Where in a source a finding points to.
+/// \brief Location of a finding in its source.
 struct source_region
 {
-	/// File or other name of the source.
+	/// File name or other name of the source.
 	std::string source;
 
 	/// JSON pointer (RFC 6901) of the value.
 	std::string pointer;
 
-	/// Line of the value, from 1; 0 where the source has no lines.
+	/// Line of the value, counted from 1; 0 if the source has no lines.
 	unsigned line{};
 };
 
-/// \brief One thing that is wrong, and where.
+/// \brief An error in an input, with its location.
 struct finding
 {
 	source_region place;
 	std::string message;
 
-	/// \brief One line: `file:line: pointer: message`.
+	/// \brief Formats the finding as `file:line: pointer: message`.
 	[[nodiscard]] std::string str() const;
 };
 
 using findings = std::vector<finding>;
 
-/// \brief All findings, a line each.
+/// \brief Formats findings, one per line.
 [[nodiscard]] std::string to_text(const findings& list);
 
-/// \brief A value, or everything that is wrong with its source.
+/// \brief A value, or all findings about its source.
 template <typename T>
 using checked = tl::expected<T, findings>;
 } // namespace gingerdyke
--- a/include/gingerdyke/base/http_status.hpp
+++ b/include/gingerdyke/base/http_status.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// HTTP status codes that the program uses, by name (RFC 9110, RFC 6585).
+// HTTP status codes in use (RFC 9110, RFC 6585).
 #pragma once
 
 namespace gingerdyke::http_status
@@ -19,7 +19,7 @@
 inline constexpr int bad_gateway = 502;
 inline constexpr int unavailable = 503;
 
-/// \brief Lowest status that tells of an error, and lowest that tells of one of the server's.
+/// \brief First status code of any error, and first of a server error.
 inline constexpr int lowest_error = 400;
 inline constexpr int lowest_server_error = 500;
 } // namespace gingerdyke::http_status
--- a/include/gingerdyke/base/ids.hpp
+++ b/include/gingerdyke/base/ids.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Strong types for the names of things: a workspace id can't be passed for a replica id.
+// Strong types for identifiers: a workspace id can't be passed where a replica id is expected.
 #pragma once
 
 #include <compare>
@@ -10,7 +10,7 @@
 
 namespace gingerdyke
 {
-/// \brief A name that is told apart from other kinds of names by its tag.
+/// \brief A string identifier. The tag makes identifiers of different kinds distinct types.
 template <typename Tag>
 class string_id
 {
@@ -19,10 +19,10 @@
 
 	explicit string_id(std::string value) : value_(std::move(value)) {}
 
-	/// \brief The name as text.
+	/// \brief The identifier as a string.
 	[[nodiscard]] const std::string& str() const noexcept { return value_; }
 
-	/// \brief True where no name was given.
+	/// \brief Whether the identifier is unset.
 	[[nodiscard]] bool empty() const noexcept { return value_.empty(); }
 
 	auto operator<=>(const string_id&) const = default;
@@ -44,7 +44,7 @@
 using row_id = string_id<struct row_tag>;
 using idempotency_key = string_id<struct idempotency_tag>;
 
-/// \brief A model at one of its versions, written `model@version`.
+/// \brief A version of a model, written `model@version`.
 struct version_ref
 {
 	model_id model;
@@ -52,13 +52,13 @@
 
 	auto operator<=>(const version_ref&) const = default;
 
-	/// \brief The written form, `model@version`.
+	/// \brief Formats the reference as `model@version`.
 	[[nodiscard]] std::string str() const { return model.str() + "@" + version; }
 
-	/// \brief True where no version is named.
+	/// \brief Whether the reference is unset.
 	[[nodiscard]] bool empty() const noexcept { return model.empty(); }
 
-	/// \brief Reads `model@version`; a text without `@` names a model and leaves the version empty.
+	/// \brief Parses `model@version`. Without `@` the text is the model, and the version is empty.
 	[[nodiscard]] static version_ref parse(std::string_view text)
 	{
 		const auto at = text.find('@');
@@ -70,7 +70,7 @@
 	}
 };
 
-/// \brief One run of a process on a VM: a VM that restarts under the same name has a higher one.
+/// \brief One process run on a VM. The incarnation number increases with each restart under the same VM id.
 struct vm_incarnation
 {
 	vm_id vm;
--- a/include/gingerdyke/base/json_schema.hpp
+++ b/include/gingerdyke/base/json_schema.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A JSON schema (draft 7), compiled once and used for many values.
+// JSON schema (draft 7) validation. A schema is compiled once and can validate many values.
 #pragma once
 
 #include <gingerdyke/base/json_source.hpp>
@@ -8,20 +8,20 @@
 
 namespace gingerdyke
 {
-/// \brief A compiled schema; safe to use from any thread.
+/// \brief A compiled schema. Thread-safe.
 class json_schema
 {
   public:
 	/// \brief Compiles a schema.
-	/// \throws std::exception where the schema itself is wrong.
+	/// \throws std::exception if the schema is invalid.
 	explicit json_schema(const json& schema);
 
-	/// \brief Compiles a schema from its text.
+	/// \brief Parses and compiles a schema.
 	explicit json_schema(const char* text) : json_schema(json::parse(text)) {}
 
-	/// \brief Checks a part of a source.
-	/// \param pointer The part, as a JSON pointer.
-	/// \param into Where findings are added, each with its place.
+	/// \brief Validates a value of a source.
+	/// \param pointer JSON pointer to the value; empty for the whole source.
+	/// \param into List to which findings are appended.
 	void check(const json_source& source, const std::string& pointer, findings& into) const;
 
   private:
--- a/include/gingerdyke/base/json_source.hpp
+++ b/include/gingerdyke/base/json_source.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// JSON text that remembers on which line each value stands.
+// Parsed JSON that knows the line of each value in its source text.
 #pragma once
 
 #include <gingerdyke/base/finding.hpp>
@@ -12,27 +12,27 @@
 {
 using json = nlohmann::json;
 
-/// \brief A parsed JSON text with the line of every value.
+/// \brief A parsed JSON document with the line of every value.
 class json_source
 {
   public:
-	/// \brief Parses a text.
-	/// \param name What findings call the source.
-	/// \param text The JSON text.
+	/// \brief Parses JSON text.
+	/// \param name Name of the source in findings.
 	/// \returns The parsed source, or one finding with the line where parsing stopped.
 	[[nodiscard]] static checked<json_source> parse(std::string name, std::string_view text);
 
 	/// \brief Reads and parses a file.
 	[[nodiscard]] static checked<json_source> load(const std::string& path);
 
-	/// \brief Wraps a value that has no text, such as one built by a program.
+	/// \brief Wraps a value that was not parsed from text; its findings have no line.
 	[[nodiscard]] static json_source of_value(std::string name, json value);
 
 	[[nodiscard]] const json& value() const noexcept { return value_; }
 
 	[[nodiscard]] const std::string& name() const noexcept { return name_; }
 
-	/// \brief The place of a value, with the line of its nearest known parent.
+	/// \brief Location of a value. If the value does not exist, the line is that of its nearest existing
+	/// ancestor.
 	[[nodiscard]] source_region at(const std::string& pointer) const;
 
   private:
@@ -41,6 +41,6 @@
 	std::map<std::string, unsigned> lines_;
 };
 
-/// \brief Escapes one step of a JSON pointer.
+/// \brief Escapes a reference token of a JSON pointer (RFC 6901).
 [[nodiscard]] std::string pointer_step(std::string_view key);
 } // namespace gingerdyke
--- a/include/gingerdyke/base/random.hpp
+++ b/include/gingerdyke/base/random.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Randomness is handed to the state machines, so that a seed repeats a history.
+// Random number sources. The host passes them to the state machines, so that a run can be reproduced from its
+// seed.
 #pragma once
 
 #include <cstddef>
@@ -8,16 +9,16 @@
 
 namespace gingerdyke
 {
-/// \brief Gives 64 uniformly random bits.
+/// \brief Returns 64 uniformly distributed random bits.
 using random_source = std::function<std::uint64_t()>;
 
-/// \brief A uniformly random number below a bound; 0 for bound 0.
+/// \brief Random number from 0 to `bound - 1`; 0 if the bound is 0.
 [[nodiscard]] inline std::size_t random_below(const random_source& random, std::size_t bound)
 {
 	return bound == 0 ? 0 : static_cast<std::size_t>(random() % bound);
 }
 
-/// \brief A hash as a number from 0 up to, not including, 1.
+/// \brief Maps a hash to the interval [0, 1).
 [[nodiscard]] inline double unit_of(std::uint64_t hash) noexcept
 {
 	constexpr unsigned shift = 11;
@@ -25,13 +26,13 @@
 	return static_cast<double>(hash >> shift) * scale;
 }
 
-/// \brief A uniformly random number from 0 up to, not including, 1.
+/// \brief Random number, uniformly distributed in [0, 1).
 [[nodiscard]] inline double random_unit(const random_source& random)
 {
 	return unit_of(random());
 }
 
-/// \brief SplitMix64: a small seeded generator with good spread.
+/// \brief SplitMix64 pseudorandom number generator.
 class seeded_random
 {
   public:
--- a/include/gingerdyke/base/suspension_watch.hpp
+++ b/include/gingerdyke/base/suspension_watch.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Tells that the machine was suspended, for the log.
+// Detects that the machine was suspended, so that it can be logged.
 #pragma once
 
 #include <chrono>
@@ -8,25 +8,28 @@
 
 namespace gingerdyke
 {
-/// \brief Compares the clock that counts suspensions with the one that leaves them out.
+/// \brief Compares CLOCK_BOOTTIME, which advances during a suspend, with CLOCK_MONOTONIC, which does not.
 class suspension_watch
 {
   public:
-	/// \brief Takes a reading of both clocks.
-	/// \returns How long the machine was suspended since the last reading; none: it was not.
+	/// \brief Compares a new reading of both clocks with the previous one.
+	/// \returns How long the machine was suspended since the previous reading, or nothing if it was not.
 	[[nodiscard]] std::optional<duration> note(
-		std::chrono::nanoseconds with_suspensions, std::chrono::nanoseconds without)
+		std::chrono::nanoseconds boot_time, std::chrono::nanoseconds monotonic_time)
 	{
-		const auto slept = with_suspensions - without;
-		const auto since = slept - slept_.value_or(slept);
-		slept_ = slept;
-		return since >= shortest ? std::optional{std::chrono::duration_cast<duration>(since)} : std::nullopt;
+		const auto total_suspended = boot_time - monotonic_time;
+		const auto newly_suspended = total_suspended - total_suspended_.value_or(total_suspended);
+		total_suspended_ = total_suspended;
+		return newly_suspended >= min_suspension
+				   ? std::optional{std::chrono::duration_cast<duration>(newly_suspended)}
+				   : std::nullopt;
 	}
 
   private:
-	/// Both clocks are read one after the other, and the process may be stopped between.
-	static constexpr std::chrono::nanoseconds shortest = std::chrono::milliseconds{100};
+	/// Shorter differences are ignored: the clocks are read one after the other, and the process may be
+	/// preempted in between.
+	static constexpr std::chrono::nanoseconds min_suspension = std::chrono::milliseconds{100};
 
-	std::optional<std::chrono::nanoseconds> slept_;
+	std::optional<std::chrono::nanoseconds> total_suspended_;
 };
 } // namespace gingerdyke
--- a/include/gingerdyke/base/units.hpp
+++ b/include/gingerdyke/base/units.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Strong types for amounts and times.
+// Strong types for quantities and times.
 #pragma once
 
 #include <chrono>
@@ -8,7 +8,7 @@
 
 namespace gingerdyke
 {
-/// \brief A whole number of one unit, told apart from other units by its tag.
+/// \brief An integer quantity of one unit. The tag makes quantities of different units distinct types.
 template <typename Tag>
 class quantity
 {
@@ -17,7 +17,7 @@
 
 	constexpr explicit quantity(std::int64_t value) noexcept : value_(value) {}
 
-	/// \brief The bare number.
+	/// \brief The number without its unit.
 	[[nodiscard]] constexpr std::int64_t value() const noexcept { return value_; }
 
 	constexpr auto operator<=>(const quantity&) const = default;
@@ -42,34 +42,34 @@
 	std::int64_t value_{};
 };
 
-/// \brief Generated or prompt tokens.
+/// \brief Number of prompt or generated tokens.
 using tokens = quantity<struct tokens_tag>;
 
-/// \brief Money in millionths of the operator's currency.
+/// \brief Amount of money in millionths of the operator's currency unit.
 using micro_cost = quantity<struct cost_tag>;
 
-/// \brief Position in the history of the table: the table service's commit sequence.
+/// \brief Revision of the table: sequence number of a commit at the table service.
 using revision = quantity<struct revision_tag>;
 
-/// \brief Fence that grows each time a lease changes hands.
+/// \brief Fencing token: increases each time a lease changes its holder.
 using epoch = quantity<struct epoch_tag>;
 
-/// \brief All spans of time inside the state machines.
+/// \brief Duration type of the state machines.
 using duration = std::chrono::microseconds;
 
-/// \brief A span in milliseconds, for logs.
+/// \brief Converts a duration to milliseconds, for logs.
 [[nodiscard]] constexpr double to_milliseconds(duration span) noexcept
 {
 	return std::chrono::duration<double, std::milli>(span).count();
 }
 
-/// \brief A part or a multiple of a span, cut to whole microseconds.
-[[nodiscard]] constexpr duration scaled(duration span, double by) noexcept
+/// \brief Multiplies a duration by a factor and truncates the result to whole microseconds.
+[[nodiscard]] constexpr duration scaled(duration span, double factor) noexcept
 {
-	return duration{static_cast<duration::rep>(static_cast<double>(span.count()) * by)};
+	return duration{static_cast<duration::rep>(static_cast<double>(span.count()) * factor)};
 }
 
-/// \brief Tag clock of the state machines; time is always handed in, never read.
+/// \brief Clock type of the state machines. It has no `now()`: the host passes the time in.
 struct node_clock
 {
 	using rep = std::chrono::microseconds::rep;
@@ -78,10 +78,10 @@
 	using time_point = std::chrono::time_point<node_clock>;
 };
 
-/// \brief A moment on one VM's monotonic clock; moments of two VMs can't be compared.
+/// \brief Point in time on one VM's monotonic clock; not comparable between VMs.
 using instant = node_clock::time_point;
 
-/// \brief Cost of a number of tokens at a price per thousand, rounded up to a millionth.
+/// \brief Cost of tokens at a price per thousand tokens, rounded up.
 [[nodiscard]] constexpr micro_cost price(tokens used, micro_cost per_thousand) noexcept
 {
 	constexpr std::int64_t thousand = 1000;
--- a/src/base/boot_clock.cpp
+++ b/src/base/boot_clock.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The clock that goes on while the machine is suspended.
+// Clock that keeps advancing while the machine is suspended.
 #include <ctime>
 #include <gingerdyke/base/boot_clock.hpp>
 
@@ -10,7 +10,7 @@
 std::chrono::nanoseconds system_boot_time() noexcept
 {
 	std::timespec read{};
-	// It can't fail: the kernel has had this clock since 2.6.39.
+	// Can't fail: Linux has supported CLOCK_BOOTTIME since 2.6.39.
 	static_cast<void>(::clock_gettime(CLOCK_BOOTTIME, &read));
 	return std::chrono::seconds{read.tv_sec} + std::chrono::nanoseconds{read.tv_nsec};
 }
--- a/src/base/crypto.cpp
+++ b/src/base/crypto.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Hashes and message authentication, by OpenSSL.
+// Hashes and message authentication codes, based on OpenSSL.
 #include <array>
 #include <gingerdyke/base/crypto.hpp>
 #include <openssl/crypto.h>
--- a/src/base/finding.cpp
+++ b/src/base/finding.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Findings: their printed form.
+// Text form of findings.
 #include <gingerdyke/base/finding.hpp>
 
 namespace gingerdyke
@@ -22,9 +22,9 @@
 std::string to_text(const findings& list)
 {
 	std::string text;
-	for (const auto& one : list)
+	for (const auto& item : list)
 	{
-		text += one.str() + "\n";
+		text += item.str() + "\n";
 	}
 	return text;
 }
--- a/src/base/json_schema.cpp
+++ b/src/base/json_schema.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A JSON schema, by valijson.
+// JSON schema validation, based on valijson.
 #include <gingerdyke/base/json_schema.hpp>
 #include <string_view>
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
@@ -13,7 +13,7 @@
 {
 namespace
 {
-/// Turns valijson's context (`<root>`, `[a]`, `[0]`) into a JSON pointer.
+/// Converts a valijson error context (`<root>`, `[a]`, `[0]`) into a JSON pointer.
 std::string to_pointer(const std::vector<std::string>& context)
 {
 	std::string pointer;
@@ -35,17 +35,17 @@
 
 json_schema::json_schema(const json& schema)
 {
-	auto fresh = std::make_shared<impl>();
+	auto implementation = std::make_shared<impl>();
 	valijson::SchemaParser parser;
 	const valijson::adapters::NlohmannJsonAdapter adapter{schema};
-	parser.populateSchema(adapter, fresh->compiled);
-	impl_ = std::move(fresh);
+	parser.populateSchema(adapter, implementation->compiled);
+	impl_ = std::move(implementation);
 }
 
 void json_schema::check(const json_source& source, const std::string& pointer, findings& into) const
 {
-	const auto& part = source.value().at(json::json_pointer{pointer});
-	const valijson::adapters::NlohmannJsonAdapter adapter{part};
+	const auto& value_to_check = source.value().at(json::json_pointer{pointer});
+	const valijson::adapters::NlohmannJsonAdapter adapter{value_to_check};
 	valijson::Validator validator{valijson::Validator::kStrongTypes};
 	valijson::ValidationResults results;
 	if (validator.validate(impl_->compiled, adapter, &results))
--- a/src/base/json_source.cpp
+++ b/src/base/json_source.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// JSON text with lines: a SAX pass over nlohmann's parser, which counts the lines it has read.
+// Parses JSON with nlohmann's SAX interface and records the line of every value.
 #include <cstddef>
 #include <fstream>
 #include <gingerdyke/base/json_source.hpp>
@@ -12,14 +12,14 @@
 {
 constexpr std::size_t max_depth = 64;
 
-/// Position shared by all copies of a counting iterator.
+/// Read position, shared by all copies of a `counting_iterator`.
 struct read_position
 {
 	unsigned line = 1;
 	bool after_newline = false;
 };
 
-/// Input iterator over characters that counts the lines passed.
+/// Input iterator over characters that counts lines.
 class counting_iterator
 {
   public:
@@ -56,27 +56,27 @@
 	read_position* position_;
 };
 
-/// Builds the value and notes the line of each pointer.
-class line_noter final : public nlohmann::json_sax<json>
+/// SAX handler that builds the value and records the line of each JSON pointer.
+class line_recorder final : public nlohmann::json_sax<json>
 {
   public:
-	line_noter(const read_position& position, std::map<std::string, unsigned>& lines)
+	line_recorder(const read_position& position, std::map<std::string, unsigned>& lines)
 		: position_(position), lines_(lines)
 	{
 	}
 
-	bool null() override { return put(nullptr); }
-	bool boolean(bool value) override { return put(value); }
-	bool number_integer(number_integer_t value) override { return put(value); }
-	bool number_unsigned(number_unsigned_t value) override { return put(value); }
-	bool number_float(number_float_t value, const string_t& /*text*/) override { return put(value); }
-	bool string(string_t& value) override { return put(value); }
+	bool null() override { return add_value(nullptr); }
+	bool boolean(bool value) override { return add_value(value); }
+	bool number_integer(number_integer_t value) override { return add_value(value); }
+	bool number_unsigned(number_unsigned_t value) override { return add_value(value); }
+	bool number_float(number_float_t value, const string_t& /*text*/) override { return add_value(value); }
+	bool string(string_t& value) override { return add_value(value); }
 	bool binary(binary_t& /*value*/) override { return false; }
 
-	bool start_object(std::size_t /*size*/) override { return open(json::object()); }
-	bool start_array(std::size_t /*size*/) override { return open(json::array()); }
-	bool end_object() override { return close(); }
-	bool end_array() override { return close(); }
+	bool start_object(std::size_t /*size*/) override { return open_container(json::object()); }
+	bool start_array(std::size_t /*size*/) override { return open_container(json::array()); }
+	bool end_object() override { return close_container(); }
+	bool end_array() override { return close_container(); }
 
 	bool key(string_t& name) override
 	{
@@ -128,7 +128,7 @@
 		return top.pointer + "/" + step;
 	}
 
-	bool put(json value)
+	bool add_value(json value)
 	{
 		lines_.try_emplace(next_pointer(), line());
 		if (stack_.empty())
@@ -148,7 +148,7 @@
 		return true;
 	}
 
-	bool open(json empty)
+	bool open_container(json empty)
 	{
 		too_deep = stack_.size() >= max_depth;
 		auto pointer = next_pointer();
@@ -157,11 +157,11 @@
 		return !too_deep;
 	}
 
-	bool close()
+	bool close_container()
 	{
-		auto done = std::move(stack_.back().value);
+		auto completed = std::move(stack_.back().value);
 		stack_.pop_back();
-		return put(std::move(done));
+		return add_value(std::move(completed));
 	}
 
 	const read_position& position_;
@@ -175,21 +175,21 @@
 	json_source source;
 	source.name_ = std::move(name);
 	read_position position;
-	line_noter noter{position, source.lines_};
+	line_recorder recorder{position, source.lines_};
 	const counting_iterator begin{text.data(), &position};
 	const counting_iterator end{text.data() + text.size(), &position};
-	if (json::sax_parse(begin, end, &noter))
+	if (json::sax_parse(begin, end, &recorder))
 	{
-		source.value_ = std::move(noter.root);
+		source.value_ = std::move(recorder.root);
 		return source;
 	}
-	source_region place{source.name_, noter.duplicate, position.line};
-	auto message = noter.message.empty() ? std::string{"not valid JSON"} : noter.message;
-	if (!noter.duplicate.empty())
+	source_region place{source.name_, recorder.duplicate, position.line};
+	auto message = recorder.message.empty() ? std::string{"not valid JSON"} : recorder.message;
+	if (!recorder.duplicate.empty())
 	{
 		message = "the key stands twice";
 	}
-	if (noter.too_deep)
+	if (recorder.too_deep)
 	{
 		message = "nested deeper than " + std::to_string(max_depth) + " levels";
 	}
@@ -218,19 +218,19 @@
 
 source_region json_source::at(const std::string& pointer) const
 {
-	auto known = pointer;
+	auto ancestor = pointer;
 	while (true)
 	{
-		if (const auto line = lines_.find(known); line != lines_.end())
+		if (const auto line = lines_.find(ancestor); line != lines_.end())
 		{
 			return {name_, pointer, line->second};
 		}
-		const auto slash = known.rfind('/');
+		const auto slash = ancestor.rfind('/');
 		if (slash == std::string::npos)
 		{
 			return {name_, pointer, 0};
 		}
-		known.resize(slash);
+		ancestor.resize(slash);
 	}
 }
 
--- a/tests/base/json_source.cpp
+++ b/tests/base/json_source.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: MIT
-// JSON text that remembers lines.
+// Line numbers of values in parsed JSON.
 #include <catch2/catch.hpp>
 #include <gingerdyke/base/json_schema.hpp>
 
 using namespace gingerdyke;
 
-TEST_CASE("a value's place is its line", "[json_source]")
+TEST_CASE("the location of a value has its line", "[json_source]")
 {
 	const auto source = json_source::parse("file", "{\n\"a\": {\n  \"b\": 1,\n  \"c\": [1,\n 2]\n}}");
 	REQUIRE(source);
@@ -16,14 +16,14 @@
 	CHECK(source->at("/a/missing/deeper").line == 2);
 }
 
-TEST_CASE("text that is not JSON is found with its line", "[json_source]")
+TEST_CASE("invalid JSON is reported with its line", "[json_source]")
 {
 	const auto source = json_source::parse("file", "{\n\"a\": 1,\n\"b\": }");
 	REQUIRE_FALSE(source);
 	CHECK(source.error().front().place.line == 3);
 }
 
-TEST_CASE("a key that stands twice is found", "[json_source]")
+TEST_CASE("a duplicate key is reported", "[json_source]")
 {
 	const auto source = json_source::parse("file", "{\"a\": 1,\n\"a\": 2}");
 	REQUIRE_FALSE(source);
@@ -31,23 +31,23 @@
 	CHECK(source.error().front().place.line == 2);
 }
 
-TEST_CASE("nesting is bounded", "[json_source]")
+TEST_CASE("deeply nested JSON is rejected", "[json_source]")
 {
 	CHECK_FALSE(json_source::parse("file", std::string(100'000, '[')));
 }
 
-TEST_CASE("all that a schema finds is reported at once", "[json_source]")
+TEST_CASE("all findings of a schema are reported at once", "[json_source]")
 {
 	const auto source = json_source::parse("file", "{\n\"a\": \"x\",\n\"b\": \"y\"}");
 	REQUIRE(source);
 	const json_schema schema{R"({"properties": {"a": {"type": "integer"}, "b": {"type": "integer"}}})"};
-	findings wrong;
-	schema.check(*source, "", wrong);
-	const auto has = [&](const std::string& pointer, unsigned line)
+	findings errors;
+	schema.check(*source, "", errors);
+	const auto has_finding = [&](const std::string& pointer, unsigned line)
 	{
-		return std::any_of(wrong.begin(), wrong.end(),
-			[&](const finding& one) { return one.place.pointer == pointer && one.place.line == line; });
+		return std::any_of(errors.begin(), errors.end(),
+			[&](const finding& item) { return item.place.pointer == pointer && item.place.line == line; });
 	};
-	CHECK(has("/a", 2));
-	CHECK(has("/b", 3));
+	CHECK(has_finding("/a", 2));
+	CHECK(has_finding("/b", 3));
 }
