--- a/include/gingerdyke/base/finding.hpp
+++ b/include/gingerdyke/base/finding.hpp
@@ -9,7 +9,7 @@
 namespace gingerdyke
 {
 /// \brief Location of a finding in its source.
-struct source_region
+struct source_location
 {
 	/// File name or other name of the source.
 	std::string source;
@@ -24,7 +24,7 @@
 /// \brief An error in an input, with its location.
 struct finding
 {
-	source_region place;
+	source_location location;
 	std::string message;
 
 	/// \brief Formats the finding as `file:line: pointer: message`.
--- a/include/gingerdyke/base/json_source.hpp
+++ b/include/gingerdyke/base/json_source.hpp
@@ -25,7 +25,7 @@
 	[[nodiscard]] static checked<json_source> load(const std::string& path);
 
 	/// \brief Wraps a value that was not parsed from text; its findings have no line.
-	[[nodiscard]] static json_source of_value(std::string name, json value);
+	[[nodiscard]] static json_source from_value(std::string name, json value);
 
 	[[nodiscard]] const json& value() const noexcept { return value_; }
 
@@ -33,7 +33,7 @@
 
 	/// \brief Location of a value. If the value does not exist, the line is that of its nearest existing
 	/// ancestor.
-	[[nodiscard]] source_region at(const std::string& pointer) const;
+	[[nodiscard]] source_location location_of(const std::string& pointer) const;
 
   private:
 	std::string name_;
@@ -42,5 +42,5 @@
 };
 
 /// \brief Escapes a reference token of a JSON pointer (RFC 6901).
-[[nodiscard]] std::string pointer_step(std::string_view key);
+[[nodiscard]] std::string escape_pointer_token(std::string_view key);
 } // namespace gingerdyke
--- a/include/gingerdyke/base/random.hpp
+++ b/include/gingerdyke/base/random.hpp
@@ -19,7 +19,7 @@
 }
 
 /// \brief Maps a hash to the interval [0, 1).
-[[nodiscard]] inline double unit_of(std::uint64_t hash) noexcept
+[[nodiscard]] inline double to_unit_interval(std::uint64_t hash) noexcept
 {
 	constexpr unsigned shift = 11;
 	constexpr double scale = 1.0 / 9007199254740992.0;
@@ -29,7 +29,7 @@
 /// \brief Random number, uniformly distributed in [0, 1).
 [[nodiscard]] inline double random_unit(const random_source& random)
 {
-	return unit_of(random());
+	return to_unit_interval(random());
 }
 
 /// \brief SplitMix64 pseudorandom number generator.
--- a/include/gingerdyke/base/units.hpp
+++ b/include/gingerdyke/base/units.hpp
@@ -82,7 +82,7 @@
 using instant = node_clock::time_point;
 
 /// \brief Cost of tokens at a price per thousand tokens, rounded up.
-[[nodiscard]] constexpr micro_cost price(tokens used, micro_cost per_thousand) noexcept
+[[nodiscard]] constexpr micro_cost token_cost(tokens used, micro_cost per_thousand) noexcept
 {
 	constexpr std::int64_t thousand = 1000;
 	return micro_cost{(used.value() * per_thousand.value() + thousand - 1) / thousand};
--- a/src/base/finding.cpp
+++ b/src/base/finding.cpp
@@ -6,16 +6,16 @@
 {
 std::string finding::str() const
 {
-	std::string text = place.source;
-	if (place.line != 0)
+	std::string text = location.source;
+	if (location.line != 0)
 	{
-		text += ":" + std::to_string(place.line);
+		text += ":" + std::to_string(location.line);
 	}
 	if (!text.empty())
 	{
 		text += ": ";
 	}
-	text += place.pointer.empty() ? "/" : place.pointer;
+	text += location.pointer.empty() ? "/" : location.pointer;
 	return text + ": " + message;
 }
 
--- a/src/base/json_schema.cpp
+++ b/src/base/json_schema.cpp
@@ -21,7 +21,7 @@
 	{
 		if (step.size() >= 2 && step.front() == '[')
 		{
-			pointer += "/" + pointer_step(std::string_view{step}.substr(1, step.size() - 2));
+			pointer += "/" + escape_pointer_token(std::string_view{step}.substr(1, step.size() - 2));
 		}
 	}
 	return pointer;
@@ -55,7 +55,7 @@
 	valijson::ValidationResults::Error error;
 	while (results.popError(error))
 	{
-		into.push_back({source.at(pointer + to_pointer(error.context)), error.description});
+		into.push_back({source.location_of(pointer + to_pointer(error.context)), error.description});
 	}
 }
 } // namespace gingerdyke
--- a/src/base/json_source.cpp
+++ b/src/base/json_source.cpp
@@ -81,7 +81,7 @@
 	bool key(string_t& name) override
 	{
 		auto& frame = stack_.back();
-		const auto pointer = frame.pointer + "/" + pointer_step(name);
+		const auto pointer = frame.pointer + "/" + escape_pointer_token(name);
 		lines_[pointer] = line();
 		if (frame.value.contains(name))
 		{
@@ -124,7 +124,8 @@
 			return "";
 		}
 		const auto& top = stack_.back();
-		const auto step = top.value.is_array() ? std::to_string(top.value.size()) : pointer_step(top.key);
+		const auto step =
+			top.value.is_array() ? std::to_string(top.value.size()) : escape_pointer_token(top.key);
 		return top.pointer + "/" + step;
 	}
 
@@ -183,7 +184,7 @@
 		source.value_ = std::move(recorder.root);
 		return source;
 	}
-	source_region place{source.name_, recorder.duplicate, position.line};
+	source_location location{source.name_, recorder.duplicate, position.line};
 	auto message = recorder.message.empty() ? std::string{"not valid JSON"} : recorder.message;
 	if (!recorder.duplicate.empty())
 	{
@@ -193,7 +194,7 @@
 	{
 		message = "nested deeper than " + std::to_string(max_depth) + " levels";
 	}
-	return tl::make_unexpected(findings{{std::move(place), std::move(message)}});
+	return tl::make_unexpected(findings{{std::move(location), std::move(message)}});
 }
 
 checked<json_source> json_source::load(const std::string& path)
@@ -208,7 +209,7 @@
 	return parse(path, text.str());
 }
 
-json_source json_source::of_value(std::string name, json value)
+json_source json_source::from_value(std::string name, json value)
 {
 	json_source source;
 	source.name_ = std::move(name);
@@ -216,7 +217,7 @@
 	return source;
 }
 
-source_region json_source::at(const std::string& pointer) const
+source_location json_source::location_of(const std::string& pointer) const
 {
 	auto ancestor = pointer;
 	while (true)
@@ -234,7 +235,7 @@
 	}
 }
 
-std::string pointer_step(std::string_view key)
+std::string escape_pointer_token(std::string_view key)
 {
 	std::string step;
 	for (const char c : key)
--- a/src/control/source_selector.cpp
+++ b/src/control/source_selector.cpp
@@ -128,7 +128,7 @@
 	const auto links = near_links();
 	const auto sum =
 		std::accumulate(links.begin(), links.begin() + static_cast<std::ptrdiff_t>(readers), 0.0);
-	auto point = unit_of(mix_hash(stable_hash(self_.vm.str()), whole_table_salt)) * sum;
+	auto point = to_unit_interval(mix_hash(stable_hash(self_.vm.str()), whole_table_salt)) * sum;
 	std::size_t first = 0;
 	while (first + 1 < readers && point >= links[first])
 	{
--- a/src/http/answers.cpp
+++ b/src/http/answers.cpp
@@ -50,7 +50,8 @@
 	auto list = json::array();
 	for (const auto& one : wrong)
 	{
-		list.push_back({{"pointer", one.place.pointer}, {"line", one.place.line}, {"message", one.message}});
+		list.push_back(
+			{{"pointer", one.location.pointer}, {"line", one.location.line}, {"message", one.message}});
 	}
 	body["error"]["findings"] = std::move(list);
 	response.set_header("Gingerdyke-Outcome", node::name_of(node::outcome::not_run));
--- a/src/node/request_desk_endings.cpp
+++ b/src/node/request_desk_endings.cpp
@@ -96,7 +96,7 @@
 	}
 	const auto* version = record.table->version(record.version);
 	const auto rate = version == nullptr ? micro_cost{0} : version->cost_per_thousand;
-	record.bill.lines.push_back({record.version, used, price(used, rate)});
+	record.bill.lines.push_back({record.version, used, token_cost(used, rate)});
 }
 
 bool request_desk::escalates(const record& record, const attempt_report& report)
@@ -294,7 +294,7 @@
 	auto lines = record.bill.lines;
 	const auto* version = record.table->version(record.version);
 	const auto rate = version == nullptr ? micro_cost{0} : version->cost_per_thousand;
-	lines.push_back({record.version, report.used, price(report.used, rate)});
+	lines.push_back({record.version, report.used, token_cost(report.used, rate)});
 	parts_.outbox.note_progress(record.in.id, lines);
 }
 
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -68,7 +68,7 @@
 	const auto port = endpoint::parse(value.at(at).get<std::string>()).port;
 	if (port < 1 || port > highest_port)
 	{
-		into.push_back({source.at(pointer), "the port must be from 1 to 65535"});
+		into.push_back({source.location_of(pointer), "the port must be from 1 to 65535"});
 	}
 }
 
@@ -82,7 +82,8 @@
 		if (seed.vm == read.vm &&
 			(seed.failure_domain != read.failure_domain || seed.address != read.peer.str()))
 		{
-			into.push_back({source.at(pointer), "names this VM with another failure domain or address"});
+			into.push_back(
+				{source.location_of(pointer), "names this VM with another failure domain or address"});
 		}
 	}
 }
@@ -142,7 +143,7 @@
 	check_seeds(source, result, wrong);
 	if (result.http.str() == result.peer.str())
 	{
-		wrong.push_back({source.at("/peer"), "the same address as /http"});
+		wrong.push_back({source.location_of("/peer"), "the same address as /http"});
 	}
 	if (!wrong.empty())
 	{
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -395,7 +395,7 @@
 		give_up(unavailable, std::move(reason));
 		return;
 	}
-	const auto spread = 1 + shared_.tuning().retry_spread * unit_of(stable_hash(id_));
+	const auto spread = 1 + shared_.tuning().retry_spread * to_unit_interval(stable_hash(id_));
 	refuse_until(scaled(wait, spread), std::move(reason));
 }
 
--- a/src/rollout/version_shift.cpp
+++ b/src/rollout/version_shift.cpp
@@ -221,7 +221,7 @@
 	{
 		return state->stable_version;
 	}
-	const bool wants_new = !state->suspended && unit_of(point) < share_of(*state, now);
+	const bool wants_new = !state->suspended && to_unit_interval(point) < share_of(*state, now);
 	return wants_new ? state->plan->to_version : state->plan->from_version;
 }
 
@@ -354,7 +354,7 @@
 	const auto least = static_cast<double>(tuning_.fewest_replicas) / count;
 	const auto share = share_of(*state, now);
 	const auto used = is_at_peak(*state, now) ? share / tuning_.peak_load : std::max(least, share);
-	return unit_of(stable_hash(one.id.str())) < used;
+	return to_unit_interval(stable_hash(one.id.str())) < used;
 }
 
 bool version_shift::is_at_peak(const service_state& state, instant now) const
--- a/src/rollout/version_shift_evidence.cpp
+++ b/src/rollout/version_shift_evidence.cpp
@@ -179,7 +179,7 @@
 bool version_shift::is_control(const service_state& state, std::uint64_t replica) const
 {
 	const auto count = static_cast<double>(std::max<std::size_t>(1, old_replicas(state)));
-	return unit_of(replica) < static_cast<double>(tuning_.control_replicas) / count;
+	return to_unit_interval(replica) < static_cast<double>(tuning_.control_replicas) / count;
 }
 
 /// Times are compared during the trial only, and not at its peak: else the engines of the two versions bear
--- a/src/routing/rest_periods.cpp
+++ b/src/routing/rest_periods.cpp
@@ -22,7 +22,7 @@
 	}
 	const auto left = std::min(span, tuning_.longest);
 	const auto longest_spread = std::min(scaled(left, tuning_.spread), tuning_.longest_spread);
-	const auto until = now + left + scaled(longest_spread, unit_of(stable_hash(request)));
+	const auto until = now + left + scaled(longest_spread, to_unit_interval(stable_hash(request)));
 	const auto* before = find(from);
 	const bool is_told = before != nullptr && before->until > now;
 	const auto kept = before == nullptr ? until : std::max(before->until, until);
--- a/src/table/compile.cpp
+++ b/src/table/compile.cpp
@@ -63,11 +63,11 @@
 	}
 
   private:
-	static std::string pointer_of(const row_id& id) { return "/rows/" + pointer_step(id.str()); }
+	static std::string pointer_of(const row_id& id) { return "/rows/" + escape_pointer_token(id.str()); }
 
 	void find(const std::string& pointer, std::string message)
 	{
-		findings_.push_back({source_.at(pointer), std::move(message)});
+		findings_.push_back({source_.location_of(pointer), std::move(message)});
 	}
 
 	void read_row(const row_id& id, const stored_row& row)
@@ -370,7 +370,7 @@
 			unchecked[id.str()] = row.value;
 		}
 	}
-	const auto source = json_source::of_value("table", {{"rows", std::move(unchecked)}});
+	const auto source = json_source::from_value("table", {{"rows", std::move(unchecked)}});
 	return compiler{source, rows, at, trusted}.run();
 }
 
@@ -379,15 +379,15 @@
 	const auto& value = declarations.value();
 	if (!value.is_object() || !value.contains("rows") || !value.at("rows").is_object())
 	{
-		return tl::make_unexpected(
-			findings{{declarations.at(""), "expected an object with \"rows\": {\"KIND/NAME\": {...}}"}});
+		return tl::make_unexpected(findings{
+			{declarations.location_of(""), "expected an object with \"rows\": {\"KIND/NAME\": {...}}"}});
 	}
 	findings extra;
 	for (const auto& [key, unused] : value.items())
 	{
 		if (key != "rows" && key != "note")
 		{
-			extra.push_back({declarations.at("/" + pointer_step(key)), "unknown key"});
+			extra.push_back({declarations.location_of("/" + escape_pointer_token(key)), "unknown key"});
 		}
 	}
 	const auto rows = rows_of(declarations);
--- a/tests/base/json_source.cpp
+++ b/tests/base/json_source.cpp
@@ -9,26 +9,26 @@
 {
 	const auto source = json_source::parse("file", "{\n\"a\": {\n  \"b\": 1,\n  \"c\": [1,\n 2]\n}}");
 	REQUIRE(source);
-	CHECK(source->at("/a").line == 2);
-	CHECK(source->at("/a/b").line == 3);
-	CHECK(source->at("/a/c/1").line == 5);
-	CHECK(source->at("/a/c/7").line == 4);
-	CHECK(source->at("/a/missing/deeper").line == 2);
+	CHECK(source->location_of("/a").line == 2);
+	CHECK(source->location_of("/a/b").line == 3);
+	CHECK(source->location_of("/a/c/1").line == 5);
+	CHECK(source->location_of("/a/c/7").line == 4);
+	CHECK(source->location_of("/a/missing/deeper").line == 2);
 }
 
 TEST_CASE("invalid JSON is reported with its line", "[json_source]")
 {
 	const auto source = json_source::parse("file", "{\n\"a\": 1,\n\"b\": }");
 	REQUIRE_FALSE(source);
-	CHECK(source.error().front().place.line == 3);
+	CHECK(source.error().front().location.line == 3);
 }
 
 TEST_CASE("a duplicate key is reported", "[json_source]")
 {
 	const auto source = json_source::parse("file", "{\"a\": 1,\n\"a\": 2}");
 	REQUIRE_FALSE(source);
-	CHECK(source.error().front().place.pointer == "/a");
-	CHECK(source.error().front().place.line == 2);
+	CHECK(source.error().front().location.pointer == "/a");
+	CHECK(source.error().front().location.line == 2);
 }
 
 TEST_CASE("deeply nested JSON is rejected", "[json_source]")
@@ -46,7 +46,8 @@
 	const auto has_finding = [&](const std::string& pointer, unsigned line)
 	{
 		return std::any_of(errors.begin(), errors.end(),
-			[&](const finding& item) { return item.place.pointer == pointer && item.place.line == line; });
+			[&](const finding& item)
+			{ return item.location.pointer == pointer && item.location.line == line; });
 	};
 	CHECK(has_finding("/a", 2));
 	CHECK(has_finding("/b", 3));
--- a/tests/platform/platform.cpp
+++ b/tests/platform/platform.cpp
@@ -61,7 +61,7 @@
 	broken.erase("routes");
 	const auto read = platform::read_configuration(row_of("config", broken));
 	REQUIRE_FALSE(read);
-	CHECK(read.error().front().place.source == "op/config");
+	CHECK(read.error().front().location.source == "op/config");
 	auto entry = replica();
 	entry["address"] = "nowhere";
 	CHECK_FALSE(platform::read_replica(row_of("i-1", entry)));
@@ -74,23 +74,23 @@
 		{"registry", "127.0.0.1:3"}, {"relay", "127.0.0.1:4"}, {"stop_limit_ms", 8000},
 		{"keys_revoked_ms", 5000}, {"keys_must_expire", true},
 		{"attempts", {{"ratio", 0.9}, {"window_s", 10}, {"slack", 54}}}};
-	const auto read = platform::read_settings(json_source::of_value("f", good));
+	const auto read = platform::read_settings(json_source::from_value("f", good));
 	REQUIRE(read);
 	CHECK(read->bounds.revocation_time == std::chrono::milliseconds{4700});
 	CHECK(read->propagation_limit() == std::chrono::seconds{2});
 	auto with_evacuation = good;
 	with_evacuation["evacuation_limit_ms"] = 900;
-	CHECK(platform::read_settings(json_source::of_value("f", with_evacuation))->propagation_limit() ==
+	CHECK(platform::read_settings(json_source::from_value("f", with_evacuation))->propagation_limit() ==
 		  std::chrono::milliseconds{900});
 	auto bad = good;
 	bad["serve"] = 5;
 	bad.erase("vm");
-	const auto findings = platform::read_settings(json_source::of_value("f", bad));
+	const auto findings = platform::read_settings(json_source::from_value("f", bad));
 	REQUIRE_FALSE(findings);
 	CHECK(findings.error().size() >= 2);
 	auto bad_port = good;
 	bad_port["ready"] = "127.0.0.1:0";
-	CHECK_FALSE(platform::read_settings(json_source::of_value("f", bad_port)));
+	CHECK_FALSE(platform::read_settings(json_source::from_value("f", bad_port)));
 }
 
 TEST_CASE("the registry client reads paged tables, follows changes and writes conditionally",
--- a/tests/table/compile.cpp
+++ b/tests/table/compile.cpp
@@ -53,10 +53,10 @@
 	text = with(text, "\"versions\": [\"m@1\"]", "\"versions\": [\"x@1\"]");
 	const auto wrong = findings_of(text);
 	REQUIRE(wrong.size() == 3);
-	CHECK(wrong[0].place.pointer == "/rows/workspace~1w/allowed/0");
-	CHECK(wrong[0].place.line == 8);
-	CHECK(wrong[1].place.pointer == "/rows/workspace~1w/default_class");
-	CHECK(wrong[2].place.pointer == "/rows/replica~1r/versions/0");
+	CHECK(wrong[0].location.pointer == "/rows/workspace~1w/allowed/0");
+	CHECK(wrong[0].location.line == 8);
+	CHECK(wrong[1].location.pointer == "/rows/workspace~1w/default_class");
+	CHECK(wrong[2].location.pointer == "/rows/replica~1r/versions/0");
 }
 
 TEST_CASE("a wrong row is found", "[table]")
