--- a/include/gingerdyke/base/suspension_watch.hpp
+++ b/include/gingerdyke/base/suspend_detector.hpp
@@ -9,12 +9,12 @@
 namespace gingerdyke
 {
 /// \brief Compares CLOCK_BOOTTIME, which advances during a suspend, with CLOCK_MONOTONIC, which does not.
-class suspension_watch
+class suspend_detector
 {
   public:
 	/// \brief Compares a new reading of both clocks with the previous one.
 	/// \returns How long the machine was suspended since the previous reading, or nothing if it was not.
-	[[nodiscard]] std::optional<duration> note(
+	[[nodiscard]] std::optional<duration> update(
 		std::chrono::nanoseconds boot_time, std::chrono::nanoseconds monotonic_time)
 	{
 		const auto total_suspended = boot_time - monotonic_time;
--- a/include/gingerdyke/control/coordinator.hpp
+++ b/include/gingerdyke/control/coordinator.hpp
@@ -3,7 +3,7 @@
 // out.
 #pragma once
 
-#include <gingerdyke/base/suspension_watch.hpp>
+#include <gingerdyke/base/suspend_detector.hpp>
 #include <gingerdyke/control/relay_server.hpp>
 #include <gingerdyke/control/report_board.hpp>
 #include <gingerdyke/control/shared_store.hpp>
@@ -156,7 +156,7 @@
 	relay_server relay_;
 	report_board board_;
 	suspect_rows suspects_;
-	suspension_watch suspensions_;
+	suspend_detector suspensions_;
 	std::map<vm_id, peer> vms_;
 	proxy::boot_timer register_timer_;
 	proxy::boot_timer write_timer_;
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -127,7 +127,7 @@
 void coordinator::note_suspension()
 {
 	const auto without = std::chrono::steady_clock::now().time_since_epoch();
-	if (const auto span = suspensions_.note(boot_clock::now().time_since_epoch(), without))
+	if (const auto span = suspensions_.update(boot_clock::now().time_since_epoch(), without))
 	{
 		log::write(log::level::warn, "machine was suspended", {{"for_ms", to_milliseconds(*span)}});
 	}
--- a/tests/proxy/suspended_vm.cpp
+++ b/tests/proxy/suspended_vm.cpp
@@ -4,7 +4,7 @@
 // what was to be asked again was asked as much too late.
 #include "../support/proxy_world.hpp"
 #include "../support/suspended_clock.hpp"
-#include <gingerdyke/base/suspension_watch.hpp>
+#include <gingerdyke/base/suspend_detector.hpp>
 
 using namespace gingerdyke;
 using namespace gingerdyke::test;
@@ -45,13 +45,13 @@
 TEST_CASE("a suspension is told once, by its length", "[suspended]")
 {
 	using std::chrono::milliseconds;
-	suspension_watch watch;
-	CHECK_FALSE(watch.note(seconds{10}, seconds{10}));
-	CHECK_FALSE(watch.note(seconds{11}, seconds{11}));
-	CHECK(watch.note(seconds{18}, seconds{12}) == seconds{6});
-	CHECK_FALSE(watch.note(seconds{19}, seconds{13}));
+	suspend_detector watch;
+	CHECK_FALSE(watch.update(seconds{10}, seconds{10}));
+	CHECK_FALSE(watch.update(seconds{11}, seconds{11}));
+	CHECK(watch.update(seconds{18}, seconds{12}) == seconds{6});
+	CHECK_FALSE(watch.update(seconds{19}, seconds{13}));
 	// What lies between the two readings is no suspension.
-	CHECK_FALSE(watch.note(seconds{20} + milliseconds{1}, seconds{14}));
+	CHECK_FALSE(watch.update(seconds{20} + milliseconds{1}, seconds{14}));
 }
 
 TEST_CASE(
