--- a/include/gingerdyke/cli/commands.hpp
+++ b/include/gingerdyke/cli/commands.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The commands of the shipped binary.
+// Commands of the `gingerdyke` binary.
 #pragma once
 
 #include <span>
@@ -12,17 +12,17 @@
 enum class exit_code : int
 {
 	ok = 0,
-	/// What was checked has findings, or the other side refused.
+	/// The checked files have findings, or the node rejected the request.
 	rejected = 1,
-	/// The command line can't be understood.
+	/// The command line is invalid.
 	usage = 2,
-	/// The other side can't be reached, or its answer was lost.
+	/// The node can't be reached, or the result of the request is unknown.
 	unreachable = 3,
-	/// `plan` found changes to make.
+	/// `plan` found differences between the file and the table.
 	changes = 4,
 };
 
-/// \brief Arguments after the command's name.
+/// \brief Command-line arguments after the name of the command.
 using arguments = std::vector<std::string>;
 
 /// \brief `gingerdyke serve --settings FILE`: runs an entry VM until SIGTERM or SIGINT.
@@ -31,18 +31,18 @@
 /// \brief `gingerdyke check FILE...`: checks settings and table files.
 [[nodiscard]] exit_code check(const arguments& args);
 
-/// \brief `gingerdyke plan --node HOST:PORT FILE`: shows what `apply` would change.
+/// \brief `gingerdyke plan --node HOST:PORT FILE`: prints the changes that `apply` would make.
 [[nodiscard]] exit_code plan(const arguments& args);
 
-/// \brief `gingerdyke apply --node HOST:PORT FILE`: makes the table what the file declares.
+/// \brief `gingerdyke apply --node HOST:PORT FILE`: changes the table to match the file.
 [[nodiscard]] exit_code apply(const arguments& args);
 
-/// \brief `gingerdyke export --node HOST:PORT`: prints the table as declarations.
+/// \brief `gingerdyke export --node HOST:PORT`: prints the table in the format of table files.
 [[nodiscard]] exit_code export_table(const arguments& args);
 
-/// \brief `gingerdyke status --node HOST:PORT`: prints a node's state.
+/// \brief `gingerdyke status --node HOST:PORT`: prints the state of a node.
 [[nodiscard]] exit_code status(const arguments& args);
 
-/// \brief `gingerdyke explain --node HOST:PORT ID`: prints why a request went where it went.
+/// \brief `gingerdyke explain --node HOST:PORT ID`: prints why a request was routed as it was.
 [[nodiscard]] exit_code explain(const arguments& args);
 } // namespace gingerdyke::cli
--- a/include/gingerdyke/cli/options.hpp
+++ b/include/gingerdyke/cli/options.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Command-line options, by getopt_long.
+// Command-line option parsing, based on getopt_long.
 #pragma once
 
 #include <map>
@@ -9,7 +9,7 @@
 
 namespace gingerdyke::cli
 {
-/// \brief An option with a value, or a flag.
+/// \brief A command-line option, with or without a value.
 struct option_spec
 {
 	std::string name;
@@ -17,7 +17,7 @@
 	std::string help;
 };
 
-/// \brief Options and operands as given.
+/// \brief Parsed options and operands of a command.
 struct parsed_options
 {
 	std::map<std::string, std::string> values;
@@ -25,13 +25,13 @@
 
 	[[nodiscard]] bool has(const std::string& name) const { return values.contains(name); }
 
-	/// \brief An option's value, or another where it was not given.
-	[[nodiscard]] std::string value(const std::string& name, const std::string& otherwise = {}) const;
+	/// \brief Value of an option, or `fallback` if the option was not given.
+	[[nodiscard]] std::string value(const std::string& name, const std::string& fallback = {}) const;
 };
 
-/// \brief Reads a command's arguments. Prints what is wrong, or the help that was asked for.
-/// \param usage First line of the help.
-/// \returns Nothing where the command has nothing more to do; `exit_status` then says why.
+/// \brief Parses the arguments of a command. For `--help` it prints the help, for an invalid option the error
+/// and the help. \param usage First line of the help. \param exit_status Set if nothing is returned. \returns
+/// The parsed options, or nothing if the command has to exit with `exit_status`.
 [[nodiscard]] std::optional<parsed_options> parse_options(const std::string& usage,
 	const std::vector<option_spec>& specs, const std::vector<std::string>& args, int& exit_status);
 } // namespace gingerdyke::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The shipped binary: finds the command and runs it.
+// Entry point of the `gingerdyke` binary: looks up the command and runs it.
 #include <exception>
 #include <functional>
 #include <gingerdyke/cli/commands.hpp>
@@ -24,11 +24,11 @@
 		{"serve", {gingerdyke::cli::serve, "run an entry VM"}},
 		{"route", {gingerdyke::platform::route, "run a VM on the users' platform"}},
 		{"check", {gingerdyke::cli::check, "check settings and table files"}},
-		{"plan", {gingerdyke::cli::plan, "show what apply would change"}},
-		{"apply", {gingerdyke::cli::apply, "make the table what a file declares"}},
-		{"export", {gingerdyke::cli::export_table, "print the table as declarations"}},
-		{"status", {gingerdyke::cli::status, "print a node's state"}},
-		{"explain", {gingerdyke::cli::explain, "print why a request went where it went"}},
+		{"plan", {gingerdyke::cli::plan, "show the changes that apply would make"}},
+		{"apply", {gingerdyke::cli::apply, "change the table to match a file"}},
+		{"export", {gingerdyke::cli::export_table, "print the table in the format of table files"}},
+		{"status", {gingerdyke::cli::status, "print the state of a node"}},
+		{"explain", {gingerdyke::cli::explain, "print why a request was routed as it was"}},
 	};
 	return all;
 }
@@ -40,8 +40,9 @@
 	{
 		out << "  " << name << std::string(10 - name.size(), ' ') << command.help << "\n";
 	}
-	out << "\n`gingerdyke COMMAND --help` tells a command's options.\n"
-		   "exit codes: 0 done; 1 rejected, with findings; 2 usage; 3 unreachable; 4 plan found changes\n";
+	out << "\nRun `gingerdyke COMMAND --help` for the options of a command.\n"
+		   "exit codes: 0 success; 1 rejected, with findings; 2 usage error; 3 unreachable; 4 plan found "
+		   "changes\n";
 }
 } // namespace
 
@@ -56,7 +57,7 @@
 	const auto found = commands().find(args.front());
 	if (found == commands().end())
 	{
-		std::cerr << "gingerdyke: no command is named " << args.front() << "\n";
+		std::cerr << "gingerdyke: unknown command " << args.front() << "\n";
 		print_help(std::cerr);
 		return static_cast<int>(exit_code::usage);
 	}
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Command-line options, by getopt_long.
+// Command-line option parsing, based on getopt_long.
 #include <getopt.h>
 #include <gingerdyke/cli/options.hpp>
 #include <iostream>
@@ -17,14 +17,14 @@
 	{
 		out << "  --" << spec.name << (spec.takes_value ? " VALUE" : "") << "\n        " << spec.help << "\n";
 	}
-	out << "  --help\n        print this\n";
+	out << "  --help\n        print this help\n";
 }
 } // namespace
 
-std::string parsed_options::value(const std::string& name, const std::string& otherwise) const
+std::string parsed_options::value(const std::string& name, const std::string& fallback) const
 {
 	const auto found = values.find(name);
-	return found == values.end() ? otherwise : found->second;
+	return found == values.end() ? fallback : found->second;
 }
 
 std::optional<parsed_options> parse_options(const std::string& usage, const std::vector<option_spec>& specs,
@@ -40,35 +40,35 @@
 	options.push_back({"help", no_argument, nullptr, 'h'});
 	options.push_back({nullptr, 0, nullptr, 0});
 
-	auto copies = args;
+	auto argument_copies = args;
 	std::string program = "gingerdyke";
 	std::vector<char*> argv{program.data()};
-	for (auto& copy : copies)
+	for (auto& argument : argument_copies)
 	{
-		argv.push_back(copy.data());
+		argv.push_back(argument.data());
 	}
 	argv.push_back(nullptr);
 
 	parsed_options result;
 	optind = 0;
-	int index = 0;
-	int found = 0;
-	while ((found = getopt_long(
-				static_cast<int>(argv.size()) - 1, argv.data(), "h", options.data(), &index)) != -1)
+	int spec_index = 0;
+	int option_char = 0;
+	while ((option_char = getopt_long(
+				static_cast<int>(argv.size()) - 1, argv.data(), "h", options.data(), &spec_index)) != -1)
 	{
-		if (found == 'h')
+		if (option_char == 'h')
 		{
 			print_help(std::cout, usage, specs);
 			exit_status = 0;
 			return std::nullopt;
 		}
-		if (found == '?')
+		if (option_char == '?')
 		{
 			print_help(std::cerr, usage, specs);
 			exit_status = usage_error;
 			return std::nullopt;
 		}
-		const auto& spec = specs[static_cast<std::size_t>(index)];
+		const auto& spec = specs[static_cast<std::size_t>(spec_index)];
 		result.values[spec.name] = spec.takes_value ? optarg : "";
 	}
 	for (auto i = static_cast<std::size_t>(optind); i + 1 < argv.size(); ++i)
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// `gingerdyke serve`: one entry VM, from its settings to its planned stop.
+// The command `gingerdyke serve`: runs an entry VM until it is asked to shut down.
 #include <chrono>
 #include <csignal>
 #include <gingerdyke/base/boot_clock.hpp>
@@ -16,9 +16,9 @@
 {
 namespace
 {
-constexpr auto drain_poll = std::chrono::milliseconds{50};
+constexpr auto drain_poll_interval = std::chrono::milliseconds{50};
 
-/// Signals that ask for a planned stop.
+/// Signals that request a graceful shutdown.
 sigset_t stop_signals()
 {
 	sigset_t signals;
@@ -28,11 +28,11 @@
 	return signals;
 }
 
-/// Stops without cutting a request: first the balancer learns of it, then open requests end, then bills
-/// settle.
-void stop_in_order(node::host& node, http::front& front, const node::settings& settings)
+/// Graceful shutdown: readiness probes fail first, so that the load balancer stops sending requests here;
+/// then new requests are rejected; then open requests complete and their bills are settled.
+void shut_down_gracefully(node::host& node, http::front& front, const node::settings& settings)
 {
-	log::write(log::level::info, "stop begun");
+	log::write(log::level::info, "shutdown started");
 	front.fail_ready();
 	node.post(node::stop_wanted{});
 	std::this_thread::sleep_for(settings.balancer_lag);
@@ -41,10 +41,10 @@
 	bool drained = node.ask(node::query_kind::drained).get<bool>();
 	while (!drained && boot_clock::now() < deadline)
 	{
-		std::this_thread::sleep_for(drain_poll);
+		std::this_thread::sleep_for(drain_poll_interval);
 		drained = node.ask(node::query_kind::drained).get<bool>();
 	}
-	log::write(drained ? log::level::info : log::level::warn, "stop ends", {{"drained", drained}});
+	log::write(drained ? log::level::info : log::level::warn, "shutdown finished", {{"drained", drained}});
 	front.stop();
 }
 } // namespace
@@ -54,7 +54,7 @@
 	int status = 0;
 	const std::vector<option_spec> specs{
 		{"settings", true, "settings file (JSON); see docs/OPERATIONS.md"},
-		{"log-level", true, "trace, debug, info, warn or error; goes before the settings"},
+		{"log-level", true, "trace, debug, info, warn or error; overrides the settings file"},
 	};
 	const auto options =
 		parse_options("gingerdyke serve --settings FILE [--log-level LEVEL]", specs, args, status);
@@ -64,7 +64,7 @@
 	}
 	if (!options->has("settings"))
 	{
-		std::cerr << "gingerdyke serve: --settings is missing\n";
+		std::cerr << "gingerdyke serve: the option --settings is required\n";
 		return exit_code::usage;
 	}
 	const auto source = json_source::load(options->value("settings"));
@@ -76,7 +76,8 @@
 	}
 	log::start(options->value("log-level", settings->log_level));
 
-	// Blocked before any thread starts, so that only the wait below receives them.
+	// Blocked before any thread is started, because threads inherit the signal mask: only `sigwait` below may
+	// receive these signals.
 	const auto signals = stop_signals();
 	pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 	std::signal(SIGPIPE, SIG_IGN);
@@ -85,15 +86,15 @@
 	http::front front{node, *settings};
 	if (front.bind() < 0)
 	{
-		std::cerr << "gingerdyke serve: can't listen at " << settings->http.str() << "\n";
+		std::cerr << "gingerdyke serve: can't listen on " << settings->http.str() << "\n";
 		return exit_code::unreachable;
 	}
 	log::write(log::level::info, "serving", {{"vm", settings->vm.str()}, {"http", settings->http.str()}});
-	std::thread serving{[&front] { front.run(); }};
+	std::thread server_thread{[&front] { front.run(); }};
 	int received = 0;
 	sigwait(&signals, &received);
-	stop_in_order(node, front, *settings);
-	serving.join();
+	shut_down_gracefully(node, front, *settings);
+	server_thread.join();
 	node.stop();
 	log::stop();
 	return exit_code::ok;
--- a/src/cli/table_commands.cpp
+++ b/src/cli/table_commands.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The commands that work on the table and on a node's state: check, plan, apply, export, status, explain.
+// Commands that read or change the table or read the state of a node: check, plan, apply, export, status,
+// explain.
 #include <cstdlib>
 #include <fstream>
 #include <gingerdyke/base/crypto.hpp>
@@ -15,21 +16,22 @@
 {
 namespace
 {
-constexpr time_t answer_seconds = 15;
+constexpr time_t read_timeout_seconds = 15;
 constexpr std::size_t session_key_bytes = 32;
 constexpr std::size_t change_id_bytes = 16;
 constexpr int indent = 2;
-constexpr const char* key_variable = "GINGERDYKE_OPERATOR_KEY";
+constexpr const char* key_env_variable = "GINGERDYKE_OPERATOR_KEY";
 
 std::vector<option_spec> node_options()
 {
 	return {
-		{"node", true, "a node's HTTP address, HOST:PORT"},
-		{"key-file", true, "file that holds the operator key; else the variable GINGERDYKE_OPERATOR_KEY"},
+		{"node", true, "HTTP address of a node, HOST:PORT"},
+		{"key-file", true,
+			"file with the operator key; defaults to the environment variable GINGERDYKE_OPERATOR_KEY"},
 	};
 }
 
-/// One change that brings the table nearer to the declarations.
+/// Change of one row that makes the table match the declared rows.
 struct planned_change
 {
 	std::string id;
@@ -38,13 +40,13 @@
 	json after;
 };
 
-/// Calls of one node, as an operator.
-class node_caller
+/// HTTP client for the operator API of a node.
+class node_client
 {
   public:
-	/// Throws where no key is given.
-	explicit node_caller(const parsed_options& options)
-		: at_(node::endpoint::parse(options.value("node"))), client_(at_.host, at_.port)
+	/// Reads the operator key from the file given by `--key-file`, or from the environment.
+	explicit node_client(const parsed_options& options)
+		: endpoint_(node::endpoint::parse(options.value("node"))), client_(endpoint_.host, endpoint_.port)
 	{
 		std::string key;
 		if (options.has("key-file"))
@@ -52,15 +54,15 @@
 			std::ifstream file{options.value("key-file")};
 			std::getline(file, key);
 		}
-		else if (const char* given = std::getenv(key_variable))
+		else if (const char* env_key = std::getenv(key_env_variable))
 		{
-			key = given;
+			key = env_key;
 		}
-		client_.set_read_timeout(answer_seconds);
+		client_.set_read_timeout(read_timeout_seconds);
 		client_.set_default_headers({{"Authorization", "Bearer " + key}});
 	}
 
-	/// The answer's status and body; status 0 where there was no answer.
+	/// Returns the status and body of the response; status 0 and the error message if there was none.
 	std::pair<int, json> get(const std::string& path) { return read(client_.Get(path)); }
 
 	std::pair<int, json> post(const std::string& path, const json& body)
@@ -79,14 +81,14 @@
 		return {result->status, body.is_discarded() ? json(result->body) : std::move(body)};
 	}
 
-	node::endpoint at_;
+	node::endpoint endpoint_;
 	httplib::Client client_;
 };
 
-/// Prints an answer that is not what was hoped for.
-exit_code report(const std::pair<int, json>& answer)
+/// Prints an error response and returns the exit code for it.
+exit_code report_error(const std::pair<int, json>& response)
 {
-	const auto& [status, body] = answer;
+	const auto& [status, body] = response;
 	if (status == 0)
 	{
 		std::cerr << "gingerdyke: the node can't be reached: " << body.get<std::string>() << "\n";
@@ -97,26 +99,26 @@
 	std::cerr << "gingerdyke: " << status << ": " << message << "\n";
 	if (body.is_object() && body.contains("error") && body["error"].contains("standing"))
 	{
-		std::cerr << "row " << body["error"]["row"] << "\nstands: " << body["error"]["standing"].dump(indent)
-				  << "\nwanted: " << body["error"]["wanted"].dump(indent) << "\n";
+		std::cerr << "row " << body["error"]["row"] << "\ncurrent: " << body["error"]["standing"].dump(indent)
+				  << "\nrequested: " << body["error"]["wanted"].dump(indent) << "\n";
 	}
 	return status == http_status::accepted ? exit_code::unreachable : exit_code::rejected;
 }
 
-std::vector<planned_change> changes_between(const json& standing, const table::row_set& declared)
+std::vector<planned_change> diff_rows(const json& current, const table::row_set& declared)
 {
 	std::vector<planned_change> changes;
 	for (const auto& [id, row] : declared)
 	{
-		const auto known = standing.contains(id.str());
-		const auto before = known ? standing.at(id.str()).at("value") : json(nullptr);
-		const auto expected = known ? standing.at(id.str()).at("revision").get<std::int64_t>() : 0;
+		const auto exists = current.contains(id.str());
+		const auto before = exists ? current.at(id.str()).at("value") : json(nullptr);
+		const auto expected = exists ? current.at(id.str()).at("revision").get<std::int64_t>() : 0;
 		if (before != row.value)
 		{
 			changes.push_back({id.str(), expected, before, row.value});
 		}
 	}
-	for (const auto& [id, row] : standing.items())
+	for (const auto& [id, row] : current.items())
 	{
 		if (!declared.contains(row_id{id}))
 		{
@@ -162,14 +164,14 @@
 	return source;
 }
 
-/// What plan and apply have in common: reads the file and the node's table, and compares.
-struct comparison
+/// Result of comparing a table file with the table of a node; used by `plan` and `apply`.
+struct table_diff
 {
 	exit_code status{exit_code::ok};
 	std::vector<planned_change> changes;
 };
 
-comparison compare(node_caller& node, const std::string& path)
+table_diff diff_with_node(node_client& node, const std::string& path)
 {
 	const auto source = load_declarations(path);
 	if (!source)
@@ -177,21 +179,22 @@
 		std::cerr << to_text(source.error());
 		return {exit_code::rejected, {}};
 	}
-	const auto answer = node.get("/table");
-	if (answer.first != http_status::ok)
+	const auto response = node.get("/table");
+	if (response.first != http_status::ok)
 	{
-		return {report(answer), {}};
+		return {report_error(response), {}};
 	}
-	return {exit_code::ok, changes_between(answer.second.at("rows"), table::rows_of(*source))};
+	return {exit_code::ok, diff_rows(response.second.at("rows"), table::rows_of(*source))};
 }
 
-/// A first session key is made up here; later the text that stands for it leaves it as it is.
-json value_to_send(const planned_change& change)
+/// Returns the row value to send. A placeholder stands for the session key in files: for a new row it is
+/// replaced by a random key, for an existing row the node keeps its current key.
+json request_value(const planned_change& change)
 {
 	auto value = change.after;
-	const bool first_key = change.id == "settings/global" && change.before.is_null() &&
-						   value.value("session_key", "") == table::kept_secret;
-	if (first_key)
+	const bool is_new_session_key = change.id == "settings/global" && change.before.is_null() &&
+									value.value("session_key", "") == table::kept_secret;
+	if (is_new_session_key)
 	{
 		value["session_key"] = random_hex(session_key_bytes);
 	}
@@ -213,13 +216,13 @@
 
 exit_code print_get(const parsed_options& options, const std::string& path)
 {
-	node_caller node{options};
-	const auto answer = node.get(path);
-	if (answer.first != http_status::ok)
+	node_client node{options};
+	const auto response = node.get(path);
+	if (response.first != http_status::ok)
 	{
-		return report(answer);
+		return report_error(response);
 	}
-	std::cout << answer.second.dump(indent) << "\n";
+	std::cout << response.second.dump(indent) << "\n";
 	return exit_code::ok;
 }
 } // namespace
@@ -234,35 +237,35 @@
 	}
 	if (options->operands.empty())
 	{
-		std::cerr << "gingerdyke check: name at least one file\n";
+		std::cerr << "gingerdyke check: at least one file is required\n";
 		return exit_code::usage;
 	}
-	findings wrong;
+	findings errors;
 	for (const auto& path : options->operands)
 	{
 		const auto source = json_source::load(path);
 		if (!source)
 		{
-			wrong.insert(wrong.end(), source.error().begin(), source.error().end());
+			errors.insert(errors.end(), source.error().begin(), source.error().end());
 			continue;
 		}
 		const bool is_table = source->value().is_object() && source->value().contains("rows");
-		findings here;
+		findings file_findings;
 		if (is_table)
 		{
 			const auto compiled = table::table::compile(*source);
-			here = compiled ? findings{} : compiled.error();
+			file_findings = compiled ? findings{} : compiled.error();
 		}
 		else
 		{
 			const auto settings = node::read_settings(*source);
-			here = settings ? findings{} : settings.error();
+			file_findings = settings ? findings{} : settings.error();
 		}
-		wrong.insert(wrong.end(), here.begin(), here.end());
+		errors.insert(errors.end(), file_findings.begin(), file_findings.end());
 	}
-	std::cout << to_text(wrong);
-	std::cout << wrong.size() << " finding(s) in " << options->operands.size() << " file(s)\n";
-	return wrong.empty() ? exit_code::ok : exit_code::rejected;
+	std::cout << to_text(errors);
+	std::cout << errors.size() << " finding(s) in " << options->operands.size() << " file(s)\n";
+	return errors.empty() ? exit_code::ok : exit_code::rejected;
 }
 
 exit_code plan(const arguments& args)
@@ -274,18 +277,18 @@
 	{
 		return static_cast<exit_code>(status);
 	}
-	node_caller node{*options};
-	const auto compared = compare(node, options->operands.front());
-	for (const auto& change : compared.changes)
+	node_client node{*options};
+	const auto diff = diff_with_node(node, options->operands.front());
+	for (const auto& change : diff.changes)
 	{
 		print_change(change);
 	}
-	if (compared.status != exit_code::ok)
+	if (diff.status != exit_code::ok)
 	{
-		return compared.status;
+		return diff.status;
 	}
-	std::cout << compared.changes.size() << " row(s) to change\n";
-	return compared.changes.empty() ? exit_code::ok : exit_code::changes;
+	std::cout << diff.changes.size() << " row(s) to change\n";
+	return diff.changes.empty() ? exit_code::ok : exit_code::changes;
 }
 
 exit_code apply(const arguments& args)
@@ -297,31 +300,31 @@
 	{
 		return static_cast<exit_code>(status);
 	}
-	node_caller node{*options};
-	const auto compared = compare(node, options->operands.front());
-	if (compared.status != exit_code::ok || compared.changes.empty())
+	node_client node{*options};
+	const auto diff = diff_with_node(node, options->operands.front());
+	if (diff.status != exit_code::ok || diff.changes.empty())
 	{
-		std::cout << (compared.status == exit_code::ok ? "nothing to change\n" : "");
-		return compared.status;
+		std::cout << (diff.status == exit_code::ok ? "nothing to change\n" : "");
+		return diff.status;
 	}
 	json body{{"change_id", random_hex(change_id_bytes)}, {"rows", json::array()}};
-	for (const auto& change : compared.changes)
+	for (const auto& change : diff.changes)
 	{
 		print_change(change);
 		body["rows"].push_back(
-			{{"id", change.id}, {"expected", change.expected}, {"value", value_to_send(change)}});
+			{{"id", change.id}, {"expected", change.expected}, {"value", request_value(change)}});
 	}
-	// The change id makes a second try harmless, so an unclear answer is asked for once more.
-	auto answer = node.post("/table/apply", body);
-	if (answer.first == 0 || answer.first == http_status::accepted)
+	// The change id makes the request idempotent, so it is retried once if the result is unknown.
+	auto response = node.post("/table/apply", body);
+	if (response.first == 0 || response.first == http_status::accepted)
 	{
-		answer = node.post("/table/apply", body);
+		response = node.post("/table/apply", body);
 	}
-	if (answer.first != http_status::ok)
+	if (response.first != http_status::ok)
 	{
-		return report(answer);
+		return report_error(response);
 	}
-	std::cout << compared.changes.size() << " row(s) changed, revision " << answer.second.at("revision")
+	std::cout << diff.changes.size() << " row(s) changed, revision " << response.second.at("revision")
 			  << "\n";
 	return exit_code::ok;
 }
@@ -335,14 +338,14 @@
 	{
 		return static_cast<exit_code>(status);
 	}
-	node_caller node{*options};
-	const auto answer = node.get("/table");
-	if (answer.first != http_status::ok)
+	node_client node{*options};
+	const auto response = node.get("/table");
+	if (response.first != http_status::ok)
 	{
-		return report(answer);
+		return report_error(response);
 	}
 	auto rows = json::object();
-	for (const auto& [id, row] : answer.second.at("rows").items())
+	for (const auto& [id, row] : response.second.at("rows").items())
 	{
 		rows[id] = row.at("value");
 	}
