--- a/include/gingerdyke/base/json_schema.hpp
+++ b/include/gingerdyke/base/json_schema.hpp
@@ -21,8 +21,8 @@
 
 	/// \brief Validates a value of a source.
 	/// \param pointer JSON pointer to the value; empty for the whole source.
-	/// \param into List to which findings are appended.
-	void check(const json_source& source, const std::string& pointer, findings& into) const;
+	/// \param output List to which findings are appended.
+	void check(const json_source& source, const std::string& pointer, findings& output) const;
 
   private:
 	struct impl;
--- a/src/base/json_schema.cpp
+++ b/src/base/json_schema.cpp
@@ -42,7 +42,7 @@
 	impl_ = std::move(implementation);
 }
 
-void json_schema::check(const json_source& source, const std::string& pointer, findings& into) const
+void json_schema::check(const json_source& source, const std::string& pointer, findings& output) const
 {
 	const auto& value_to_check = source.value().at(json::json_pointer{pointer});
 	const valijson::adapters::NlohmannJsonAdapter adapter{value_to_check};
@@ -55,7 +55,7 @@
 	valijson::ValidationResults::Error error;
 	while (results.popError(error))
 	{
-		into.push_back({source.location_of(pointer + to_pointer(error.context)), error.description});
+		output.push_back({source.location_of(pointer + to_pointer(error.context)), error.description});
 	}
 }
 } // namespace gingerdyke
--- a/src/base/json_source.cpp
+++ b/src/base/json_source.cpp
@@ -93,9 +93,9 @@
 	}
 
 	bool parse_error(
-		std::size_t /*at*/, const std::string& /*token*/, const nlohmann::detail::exception& why) override
+		std::size_t /*at*/, const std::string& /*token*/, const nlohmann::detail::exception& error) override
 	{
-		message = why.what();
+		message = error.what();
 		return false;
 	}
 
--- a/tests/platform/evacuation.cpp
+++ b/tests/platform/evacuation.cpp
@@ -37,7 +37,7 @@
 	setup.world.run_until([&] { return setup.answered_by("b", 40) > 0; });
 }
 
-TEST_CASE("requests to a service without replicas left by an evacuation are rejected at once as not executed",
+TEST_CASE("requests are rejected at once as not executed if an evacuation leaves their service no replica",
 	"[platform][evacuation]")
 {
 	registered_replicas setup{{"b", "c"}};
--- a/tests/platform/replica_entries.cpp
+++ b/tests/platform/replica_entries.cpp
@@ -148,8 +148,8 @@
 	world.run_until(
 		[&]
 		{
-			const auto one = world.gateway().replicas().find(replica_id{"r2"});
-			return one && one->incarnation.value() == 1780000099000;
+			const auto rewritten_replica = world.gateway().replicas().find(replica_id{"r2"});
+			return rewritten_replica && rewritten_replica->incarnation.value() == 1780000099000;
 		});
 	CHECK_FALSE(world.gateway().replicas().is_suspected(replica_id{"r2"}));
 }
