--- a/include/gingerdyke/log/log.hpp
+++ b/include/gingerdyke/log/log.hpp
@@ -24,7 +24,7 @@
 void stop();
 
 /// \brief Writes a log line.
-/// \param message Short description of the event, the same for every event of its kind so that it can be
-/// searched for. \param fields Additional members of the JSON object.
+/// \param message Short description of the event, the same text for every event of its kind.
+/// \param fields Additional members of the JSON object.
 void write(level level, const std::string& message, json fields = json::object());
 } // namespace gingerdyke::log
--- a/include/gingerdyke/metrics/histogram.hpp
+++ b/include/gingerdyke/metrics/histogram.hpp
@@ -36,8 +36,8 @@
 	/// \brief Sum of all values, in microseconds.
 	[[nodiscard]] double sum() const;
 
-	/// \brief Returns a quantile, rounded up to the bound of its bin (bins are 12% wide); 0 if there are no
-	/// values. \param fraction Fraction of all values that are at most the result.
+	/// \brief A quantile, rounded up to the bound of its bin (bins are 12% wide); 0 without values.
+	/// \param fraction Fraction of all values that are at most the result.
 	[[nodiscard]] double quantile(double fraction) const;
 
 	/// \brief Upper bounds of the non-empty bins, each with the number of values up to it.
--- a/include/gingerdyke/metrics/text_format.hpp
+++ b/include/gingerdyke/metrics/text_format.hpp
@@ -16,8 +16,8 @@
 /// \brief Formats one label as `name="value"`, with the value escaped.
 [[nodiscard]] std::string write_label(const std::string& name, const std::string& value);
 
-/// \brief Writes the bucket, sum and count lines of a histogram whose values are in microseconds; the output
-/// is in seconds. \param labels Labels formatted by `write_label`, separated by commas.
+/// \brief Writes the bucket, sum and count lines of a histogram, converted from microseconds to seconds.
+/// \param labels Labels formatted by `write_label`, separated by commas.
 void write_histogram(
 	std::ostream& out, const std::string& name, const std::string& labels, const histogram& values);
 } // namespace gingerdyke::metrics
