--- a/include/gingerdyke/cli/commands.hpp
+++ b/include/gingerdyke/cli/commands.hpp
@@ -43,6 +43,6 @@
 /// \brief `gingerdyke status --node HOST:PORT`: prints the state of a node.
 [[nodiscard]] exit_code status(const arguments& args);
 
-/// \brief `gingerdyke explain --node HOST:PORT ID`: prints why a request was routed as it was.
+/// \brief `gingerdyke explain --node HOST:PORT ID`: prints how a request was routed, and why.
 [[nodiscard]] exit_code explain(const arguments& args);
 } // namespace gingerdyke::cli
--- a/include/gingerdyke/cli/options.hpp
+++ b/include/gingerdyke/cli/options.hpp
@@ -29,9 +29,10 @@
 	[[nodiscard]] std::string value(const std::string& name, const std::string& fallback = {}) const;
 };
 
-/// \brief Parses the arguments of a command. For `--help` it prints the help, for an invalid option the error
-/// and the help. \param usage First line of the help. \param exit_status Set if nothing is returned. \returns
-/// The parsed options, or nothing if the command has to exit with `exit_status`.
+/// \brief Parses the arguments of a command. Prints the help for `--help` and for an invalid option.
+/// \param usage First line of the help.
+/// \param exit_status Set if nothing is returned.
+/// \returns The parsed options, or nothing if the command has to exit with `exit_status`.
 [[nodiscard]] std::optional<parsed_options> parse_options(const std::string& usage,
 	const std::vector<option_spec>& specs, const std::vector<std::string>& args, int& exit_status);
 } // namespace gingerdyke::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -28,7 +28,7 @@
 		{"apply", {gingerdyke::cli::apply, "change the table to match a file"}},
 		{"export", {gingerdyke::cli::export_table, "print the table in the format of table files"}},
 		{"status", {gingerdyke::cli::status, "print the state of a node"}},
-		{"explain", {gingerdyke::cli::explain, "print why a request was routed as it was"}},
+		{"explain", {gingerdyke::cli::explain, "print how a request was routed, and why"}},
 	};
 	return all;
 }
