--- a/include/gingerdyke/proxy/caller_link.hpp
+++ b/include/gingerdyke/proxy/caller_link.hpp
@@ -1,47 +1,48 @@
 // SPDX-License-Identifier: MIT
-// One connection of a caller: reads requests, answers them in order, sees the caller leave.
+// A caller's HTTP connection: reads requests, writes their responses in order and detects that the caller has
+// disconnected.
 #pragma once
 
-#include <gingerdyke/proxy/answer_sink.hpp>
 #include <gingerdyke/proxy/asio.hpp>
+#include <gingerdyke/proxy/response_sink.hpp>
 #include <gingerdyke/routing/catalog.hpp>
 #include <optional>
 
 namespace gingerdyke::proxy
 {
-/// \brief What connections of callers need from the process that they belong to.
-struct caller_link_host
+/// \brief Callbacks from a caller's connection to the process that accepted it.
+struct caller_connection_callbacks
 {
-	/// Answers a request.
+	/// Handles a request.
 	request_handler handle;
 
-	/// Bounds in force now.
+	/// Returns the limits on callers that apply now.
 	std::function<routing::caller_limits()> limits;
 
-	/// True while the process is being stopped: answers close their connection.
+	/// Returns whether the process is shutting down: connections are then closed after their response.
 	std::function<bool()> stopping;
 };
 
-/// \brief One connection of a caller.
-class caller_link : public answer_sink, public std::enable_shared_from_this<caller_link>
+/// \brief A caller's HTTP/1.x connection.
+class caller_connection : public response_sink, public std::enable_shared_from_this<caller_connection>
 {
   public:
-	caller_link(tcp::socket socket, std::shared_ptr<const caller_link_host> host);
+	caller_connection(tcp::socket socket, std::shared_ptr<const caller_connection_callbacks> callbacks);
 
-	/// \brief Begins to read.
+	/// \brief Starts to read requests.
 	void start();
 
-	/// \brief Closes the connection if no request is under way or being read.
+	/// \brief Closes the connection if no request is being read or handled.
 	void close_if_idle();
 
-	/// \brief True while a request is being read or answered.
+	/// \brief Whether a request is being read or handled.
 	[[nodiscard]] bool busy() const noexcept { return state_ != state::idle && state_ != state::closed; }
 
-	void send(whole_answer answer) override;
-	void begin(int status, std::string_view reason, const header_fields& fields) override;
-	void pass(std::string_view bytes) override;
-	void end() override;
-	void break_off() override;
+	void send(response outgoing) override;
+	void send_head(int status, std::string_view reason, const header_fields& fields) override;
+	void write_body(std::string_view bytes) override;
+	void end_stream() override;
+	void abort_stream() override;
 
   private:
 	using parser = beast::http::request_parser<beast::http::string_body>;
@@ -52,8 +53,8 @@
 		idle,
 		reading_head,
 		reading_body,
-		answering,
-		/// The last answer is being written, then the connection closes.
+		responding,
+		/// The last response is being written; the connection closes after it.
 		finishing,
 		closed,
 	};
@@ -63,32 +64,32 @@
 	void advance();
 	[[nodiscard]] bool read_head();
 	[[nodiscard]] bool read_body();
-	void take_request();
+	void start_request();
 	void refuse(int status, const std::string& why);
 	void write(std::string_view bytes);
 	void write_next();
 	void on_written(const error_code& error);
-	void finish_answer(bool may_continue);
+	void finish_response(bool keep_open);
 	void arm_timer(duration span);
 	void on_timer();
-	void on_gone();
+	void on_disconnect();
 	void close();
 
 	tcp::socket socket_;
-	std::shared_ptr<const caller_link_host> host_;
+	std::shared_ptr<const caller_connection_callbacks> callbacks_;
 	routing::caller_limits limits_;
 	boot_timer timer_;
 	beast::flat_buffer buffer_;
 	std::optional<parser> parser_;
 	request request_;
 	std::shared_ptr<active_request> active_;
-	std::string writing_;
-	std::string pending_;
+	std::string write_buffer_;
+	std::string pending_output_;
 	state state_ = state::idle;
 	bool is_reading_ = false;
-	bool write_under_way_ = false;
+	bool is_writing_ = false;
 	bool keep_alive_ = true;
 	bool is_chunked_ = false;
-	bool is_head_ = false;
+	bool is_head_request_ = false;
 };
 } // namespace gingerdyke::proxy
--- a/src/base/finding.cpp
+++ b/src/base/finding.cpp
@@ -1,30 +1,30 @@
 // SPDX-License-Identifier: MIT
-// Findings: their printed form.
+// Text form of findings.
 #include <gingerdyke/base/finding.hpp>
 
 namespace gingerdyke
 {
 std::string finding::str() const
 {
-	std::string text = place.source;
-	if (place.line != 0)
+	std::string text = location.source;
+	if (location.line != 0)
 	{
-		text += ":" + std::to_string(place.line);
+		text += ":" + std::to_string(location.line);
 	}
 	if (!text.empty())
 	{
 		text += ": ";
 	}
-	text += place.pointer.empty() ? "/" : place.pointer;
+	text += location.pointer.empty() ? "/" : location.pointer;
 	return text + ": " + message;
 }
 
 std::string to_text(const findings& list)
 {
 	std::string text;
-	for (const auto& one : list)
+	for (const auto& item : list)
 	{
-		text += one.str() + "\n";
+		text += item.str() + "\n";
 	}
 	return text;
 }
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Connects the registry to the data path: tables in, plans out. What VMs tell one another is in
+// Connects the registry to the data path: applies tables and writes plans. The exchange with other VMs is in
 // coordinator_peers.cpp.
 #include <gingerdyke/control/coordinator.hpp>
 #include <gingerdyke/log/log.hpp>
@@ -8,149 +8,151 @@
 {
 namespace
 {
-const std::string plan_prefix = "plan/";
-const std::string vm_prefix = "vm/";
+const std::string plan_key_prefix = "plan/";
+const std::string vm_key_prefix = "vm/";
 
-void log_findings(const char* what, const findings& list)
+void log_findings(const char* message, const findings& list)
 {
-	for (const auto& one : list)
+	for (const auto& finding : list)
 	{
-		log::write(log::level::error, what, {{"finding", one.str()}});
+		log::write(log::level::error, message, {{"finding", finding.str()}});
 	}
 }
 } // namespace
 
 coordinator_tuning tuning_for(duration news_limit)
 {
-	// A reader's call, and how old its copy may be, which leaves it half of that for the answer. The rest is
-	// for learning of a change elsewhere, and its last part for the registry's own answer.
-	constexpr double wait_share = 0.35;
-	constexpr double copy_share = 0.55;
-	constexpr double own_share = 0.75;
-	// A lost answer of the registry is noticed after this and the time limit of an answer: the users count a
-	// VM as in touch again 3 s after, and allow 2 s from there.
-	constexpr double replica_share = 1.2;
+	// Shares of `news_limit`: the wait of a reader's poll, the maximum age of another VM's copy and that of
+	// the own copy. The second exceeds the first by the time for the reader's response; the rest of the limit
+	// is for learning of a change from another VM, its last part for the registry's own response.
+	constexpr double poll_wait_ratio = 0.35;
+	constexpr double peer_copy_ratio = 0.55;
+	constexpr double own_copy_ratio = 0.75;
+	// A lost response of the registry is noticed after this wait plus the response timeout. A VM counts as in
+	// contact with the registry again 3 s after an outage, and a further 2 s are allowed from there.
+	constexpr double replica_wait_ratio = 1.2;
 	coordinator_tuning tuning;
-	tuning.operator_wait = scaled(news_limit, wait_share);
-	tuning.replica_wait = scaled(news_limit, replica_share);
-	tuning.sharing.oldest_copy = scaled(news_limit, copy_share);
-	tuning.sharing.oldest_own = scaled(news_limit, own_share);
+	tuning.operator_poll_wait = scaled(news_limit, poll_wait_ratio);
+	tuning.replica_poll_wait = scaled(news_limit, replica_wait_ratio);
+	tuning.sharing.max_peer_copy_age = scaled(news_limit, peer_copy_ratio);
+	tuning.sharing.max_own_copy_age = scaled(news_limit, own_copy_ratio);
 	return tuning;
 }
 
 coordinator::coordinator(proxy::gateway& gateway, row_store& registry, registry_layout layout, peer self,
 	std::string reporter, const random_source& random, coordinator_tuning tuning)
 	: gateway_(gateway), layout_(std::move(layout)), self_(std::move(self)), reporter_(std::move(reporter)),
-	  tuning_(std::move(tuning)), sources_(self_),
-	  store_(gateway.context(), registry, sources_, store_hooks(), sharing_tuning()),
-	  relay_(gateway.context(), server_hooks()),
-	  suspects_(gateway.context(), store_, gateway.suspects(), layout_.own_table),
+	  tuning_(std::move(tuning)), source_selector_(self_),
+	  shared_store_(gateway.context(), registry, source_selector_, store_hooks(), sharing_tuning()),
+	  relay_server_(gateway.context(), server_hooks()),
+	  suspect_rows_(gateway.context(), shared_store_, gateway.suspects(), layout_.own_table),
 	  register_timer_(gateway.context()), write_timer_(gateway.context()), expire_timer_(gateway.context()),
 	  evidence_timer_(gateway.context()),
-	  operators_(gateway.context(), store_, layout_.operator_table, random,
+	  operator_follower_(gateway.context(), shared_store_, layout_.operator_table, random,
 		  {[this](const auto& rows) { on_operator_table(rows); },
 			  [this](const auto& rows) { on_operator_rows(rows); },
 			  [this](instant newest_at, registry_time at)
 			  {
-				  note_suspension();
-				  gateway_.confirm(newest_at);
-				  gateway_.versions().note_registry_time(at, proxy::steady_now());
-				  suspects_.note_registry_time(at, proxy::steady_now());
+				  check_machine_suspension();
+				  gateway_.confirm_catalog(newest_at);
+				  gateway_.versions().update_registry_time(at, proxy::steady_now());
+				  suspect_rows_.note_registry_time(at, proxy::steady_now());
 			  },
-			  // What the other calls wait for may be lost as well: they are made again.
+			  // The responses to the other pending calls may be lost as well, so they are repeated.
 			  [this](store_error)
 			  {
-				  note_suspension();
-				  store_.abandon();
+				  check_machine_suspension();
+				  shared_store_.abandon();
 			  }},
-		  {.wait = tuning_.operator_wait}),
-	  replicas_(gateway.context(), store_, layout_.replica_table, random,
+		  {.wait = tuning_.operator_poll_wait}),
+	  replica_follower_(gateway.context(), shared_store_, layout_.replica_table, random,
 		  {[this](const auto& rows) { on_replicas(rows); },
 			  [this](const auto& rows) { on_replica_rows(rows); },
 			  [this](instant newest_at, registry_time)
 			  {
 				  gateway_.confirm_replicas(newest_at);
-				  gateway_.replicas().note_sound(newest_at);
+				  gateway_.replicas().mark_registry_available(newest_at);
 				  expire_replicas();
 			  },
-			  [this](store_error) { gateway_.replicas().note_unsound(proxy::steady_now()); }},
-		  {.wait = tuning_.replica_wait, .gather = tuning_.gather}),
-	  own_(gateway.context(), store_, layout_.own_table, random,
+			  [this](store_error) { gateway_.replicas().mark_registry_unavailable(proxy::steady_now()); }},
+		  {.wait = tuning_.replica_poll_wait, .batch_delay = tuning_.batch_delay}),
+	  own_follower_(gateway.context(), shared_store_, layout_.own_table, random,
 		  {[this](const auto& rows) { on_own_rows(rows); }, [this](const auto& rows) { on_own_rows(rows); },
 			  [this](instant newest_at, registry_time) { gateway_.vms().confirm(newest_at); },
 			  [](store_error) {}},
-		  {.wait = tuning_.other_wait, .gather = tuning_.gather}),
-	  evidence_(gateway.context(), registry, layout_.evidence_table, random,
+		  {.wait = tuning_.own_poll_wait, .batch_delay = tuning_.batch_delay}),
+	  evidence_follower_(gateway.context(), registry, layout_.evidence_table, random,
 		  {[this](const auto& rows) { on_evidence_rows(rows); },
 			  [this](const auto& rows) { on_evidence_rows(rows); }, [](instant, registry_time) {},
 			  [](store_error) {}},
-		  {.wait = tuning_.evidence_wait, .gather = tuning_.gather})
+		  {.wait = tuning_.evidence_poll_wait, .batch_delay = tuning_.batch_delay})
 {
 }
 
 proxy::error_code coordinator::start()
 {
-	const auto error = relay_.listen(self_.at);
+	const auto error = relay_server_.listen(self_.address);
 	if (!error)
 	{
-		own_.start();
+		own_follower_.start();
 	}
 	return error;
 }
 
-/// The other tables are followed once it is known through whom.
-void coordinator::start_rest()
+/// Started once the VMs to read through are known from the router's own table.
+void coordinator::start_remaining_followers()
 {
-	if (!rest_started_)
+	if (!remaining_followers_started_)
 	{
-		rest_started_ = true;
-		operators_.start();
-		replicas_.start();
+		remaining_followers_started_ = true;
+		operator_follower_.start();
+		replica_follower_.start();
 	}
 }
 
 void coordinator::stop()
 {
-	operators_.stop();
-	replicas_.stop();
-	own_.stop();
-	evidence_.stop();
-	relay_.stop();
-	suspects_.stop();
+	operator_follower_.stop();
+	replica_follower_.stop();
+	own_follower_.stop();
+	evidence_follower_.stop();
+	relay_server_.stop();
+	suspect_rows_.stop();
 	write_timer_.cancel();
 	expire_timer_.cancel();
 	evidence_timer_.cancel();
 	register_timer_.cancel();
 }
 
-/// Looked at with each answer of the table that is asked for most often: calls under way fail at the latest.
-void coordinator::note_suspension()
+/// Checked with each response or failure for the operators' table, the one polled most often; calls that were
+/// pending during a suspension fail at the latest.
+void coordinator::check_machine_suspension()
 {
-	const auto without = std::chrono::steady_clock::now().time_since_epoch();
-	if (const auto span = suspensions_.note(boot_clock::now().time_since_epoch(), without))
+	const auto monotonic_now = std::chrono::steady_clock::now().time_since_epoch();
+	if (const auto span = suspension_watch_.update(boot_clock::now().time_since_epoch(), monotonic_now))
 	{
 		log::write(log::level::warn, "machine was suspended", {{"for_ms", to_milliseconds(*span)}});
 	}
 }
 
-/// A VM that starts again where it was is still registered.
+/// A VM that restarts with the same address is still registered.
 void coordinator::register_self()
 {
-	const auto known = vms_.find(self_.vm);
-	if (known != vms_.end() && known->second == self_)
+	const auto registered = vms_.find(self_.vm);
+	if (registered != vms_.end() && registered->second == self_)
 	{
 		return;
 	}
 	row_change change;
-	change.puts.push_back({layout_.own_table, vm_prefix + self_.vm.str(), write_vm(self_)});
-	store_.change(change,
-		[this](const store_result<change_answer>& answer)
+	change.puts.push_back({layout_.own_table, vm_key_prefix + self_.vm.str(), write_vm(self_)});
+	shared_store_.change(change,
+		[this](const store_result<change_result>& result)
 		{
-			if (answer)
+			if (result)
 			{
 				return;
 			}
-			register_timer_.expires_after(tuning_.register_again);
+			register_timer_.expires_after(tuning_.register_retry_delay);
 			register_timer_.async_wait(
 				[this](const proxy::error_code& error)
 				{
@@ -164,65 +166,66 @@
 
 table_follower* coordinator::follower_of(const std::string& table)
 {
-	for (auto* one : {&operators_, &replicas_, &own_})
+	for (auto* follower : {&operator_follower_, &replica_follower_, &own_follower_})
 	{
-		if (one->cache().table() == table)
+		if (follower->cache().table() == table)
 		{
-			return one;
+			return follower;
 		}
 	}
 	return nullptr;
 }
 
-/// An evacuation whose row is not there was withdrawn, perhaps while this VM heard nothing.
+/// An evacuation without a row has been withdrawn, possibly while this VM had no contact with the registry.
 void coordinator::on_operator_table(const std::vector<row>& rows)
 {
-	std::set<failure_domain_id> standing;
-	for (const auto& one : rows)
+	std::set<failure_domain_id> ordered_domains;
+	for (const auto& table_row : rows)
 	{
-		if (const auto domain = layout_.evacuated_domain(one.key))
+		if (const auto domain = layout_.evacuated_domain(table_row.key))
 		{
-			standing.insert(*domain);
+			ordered_domains.insert(*domain);
 		}
 	}
-	gateway_.evacuated().retain(standing);
+	gateway_.evacuated().retain(ordered_domains);
 	on_operator_rows(rows);
 }
 
 void coordinator::on_operator_rows(const std::vector<row>& rows)
 {
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		if (const auto domain = layout_.evacuated_domain(one.key))
+		if (const auto domain = layout_.evacuated_domain(table_row.key))
 		{
-			one.removed ? gateway_.evacuated().remove(*domain) : gateway_.evacuated().add(*domain);
+			table_row.removed ? gateway_.evacuated().remove(*domain) : gateway_.evacuated().add(*domain);
 		}
-		else if (!one.removed)
+		else if (!table_row.removed)
 		{
-			on_operator_row(one);
+			on_operator_row(table_row);
 		}
 	}
-	relay_.on_change(layout_.operator_table);
-	arm();
+	relay_server_.on_change(layout_.operator_table);
+	schedule_write();
 }
 
-void coordinator::on_operator_row(const row& one)
+void coordinator::on_operator_row(const row& table_row)
 {
-	const auto news = layout_.read_operator_row(one);
-	if (!news)
+	const auto statement = layout_.read_operator_row(table_row);
+	if (!statement)
 	{
-		log_findings("operator's row not understood", news.error());
+		log_findings("invalid operator row", statement.error());
 		return;
 	}
-	if (std::holds_alternative<std::monostate>(*news))
+	if (std::holds_alternative<std::monostate>(*statement))
 	{
-		gateway_.unknown().note(proxy::statement_source::operator_row, one.key, layout_.operator_table);
+		gateway_.unknown_names().record(
+			proxy::statement_source::operator_row, table_row.key, layout_.operator_table);
 	}
-	if (const auto* catalog = std::get_if<routing::catalog_ptr>(&*news))
+	if (const auto* catalog = std::get_if<routing::catalog_ptr>(&*statement))
 	{
-		take_catalog(*catalog);
+		apply_catalog(*catalog);
 	}
-	if (const auto* order = std::get_if<rollout::shift_order>(&*news))
+	if (const auto* order = std::get_if<rollout::shift_order>(&*statement))
 	{
 		log::write(log::level::info, "version shift ordered",
 			{{"service", order->service.str()}, {"to", order->to_version}, {"order", order->order.value()}});
@@ -230,11 +233,11 @@
 	}
 }
 
-void coordinator::take_catalog(const routing::catalog_ptr& catalog)
+void coordinator::apply_catalog(const routing::catalog_ptr& catalog)
 {
-	if (gateway_.take(catalog))
+	if (gateway_.apply_catalog(catalog))
 	{
-		log::write(log::level::info, "configuration in force",
+		log::write(log::level::info, "configuration applied",
 			{{"version", catalog->version().value()}, {"routes", catalog->route_count()}});
 	}
 }
@@ -242,62 +245,62 @@
 void coordinator::on_replica_rows(const std::vector<row>& rows)
 {
 	const auto now = proxy::steady_now();
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		auto entry = read_replica(one);
+		auto entry = read_replica(table_row);
 		if (entry)
 		{
-			note_unknown_fields(one);
+			note_unknown_fields(table_row);
 			gateway_.replicas().put(std::move(*entry), now);
 			continue;
 		}
-		gateway_.replicas().remove(replica_id{one.key}, now);
+		gateway_.replicas().remove(replica_id{table_row.key}, now);
 	}
-	relay_.on_change(layout_.replica_table);
+	relay_server_.on_change(layout_.replica_table);
 	expire_replicas();
 }
 
-/// Looked at once a replica: each heartbeat of a cold one brings its row again.
-void coordinator::note_unknown_fields(const row& one)
+/// Checked once per replica, as each heartbeat of a cold replica delivers its row again.
+void coordinator::note_unknown_fields(const row& table_row)
 {
-	if (gateway_.replicas().find(replica_id{one.key}) != nullptr)
+	if (gateway_.replicas().find(replica_id{table_row.key}) != nullptr)
 	{
 		return;
 	}
-	for (const auto& name : layout_.unknown_replica_fields(one))
+	for (const auto& name : layout_.unknown_replica_fields(table_row))
 	{
-		gateway_.unknown().note(proxy::statement_source::replica_entry, name, one.key);
+		gateway_.unknown_names().record(proxy::statement_source::replica_entry, name, table_row.key);
 	}
 }
 
 void coordinator::on_replicas(const std::vector<row>& rows)
 {
 	std::vector<routing::replica> entries;
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		if (auto entry = read_replica(one))
+		if (auto entry = read_replica(table_row))
 		{
 			entries.push_back(std::move(*entry));
 		}
 	}
-	log::write(log::level::info, "replicas read",
+	log::write(log::level::info, "replica table loaded",
 		{{"count", entries.size()}, {"unreadable", rows.size() - entries.size()}});
-	gateway_.take_replicas(std::move(entries), proxy::steady_now());
-	relay_.on_change(layout_.replica_table);
+	gateway_.set_replicas(std::move(entries), proxy::steady_now());
+	relay_server_.on_change(layout_.replica_table);
 }
 
-/// An entry that can't be read names no replica to use, also where one was known under its id: another writer
-/// may have put it there. The replica's own next heartbeat brings it back.
-std::optional<routing::replica> coordinator::read_replica(const row& one) const
+/// A malformed entry makes its replica unusable, even if a valid entry was known under its id: another writer
+/// may have overwritten it. The replica's next heartbeat restores it.
+std::optional<routing::replica> coordinator::read_replica(const row& table_row) const
 {
-	if (one.removed)
+	if (table_row.removed)
 	{
 		return std::nullopt;
 	}
-	auto entry = layout_.read_replica_row(one);
+	auto entry = layout_.read_replica_row(table_row);
 	if (!entry)
 	{
-		log_findings("replica's row not understood", entry.error());
+		log_findings("invalid replica row", entry.error());
 		return std::nullopt;
 	}
 	return std::move(*entry);
@@ -306,37 +309,37 @@
 void coordinator::on_own_rows(const std::vector<row>& rows)
 {
 	bool vms_changed = false;
-	for (const auto& one : rows)
+	for (const auto& table_row : rows)
 	{
-		if (one.key.starts_with(vm_prefix))
+		if (table_row.key.starts_with(vm_key_prefix))
 		{
-			on_vm_row(one);
+			on_vm_row(table_row);
 			vms_changed = true;
 		}
-		else if (one.key.starts_with(suspect_prefix))
+		else if (table_row.key.starts_with(suspect_key_prefix))
 		{
-			suspects_.on_row(one, proxy::steady_now());
+			suspect_rows_.on_row(table_row, proxy::steady_now());
 		}
-		else if (one.key.starts_with(plan_prefix) && !one.removed)
+		else if (table_row.key.starts_with(plan_key_prefix) && !table_row.removed)
 		{
-			on_plan_row(one);
+			on_plan_row(table_row);
 		}
 	}
 	if (vms_changed)
 	{
-		note_vms();
+		publish_vms();
 	}
-	if (!std::exchange(looked_for_self_, true))
+	if (!std::exchange(registration_checked_, true))
 	{
 		register_self();
 	}
-	relay_.on_change(layout_.own_table);
+	relay_server_.on_change(layout_.own_table);
 	follow_evidence();
-	start_rest();
-	arm();
+	start_remaining_followers();
+	schedule_write();
 }
 
-void coordinator::note_vms()
+void coordinator::publish_vms()
 {
 	std::vector<peer> peers;
 	std::vector<routing::fleet_member> members;
@@ -345,37 +348,37 @@
 		peers.push_back(vm);
 		members.push_back({id, vm.domain});
 	}
-	sources_.set_peers(std::move(peers));
-	gateway_.note_vms(vms_.size());
+	source_selector_.set_peers(std::move(peers));
+	gateway_.set_vm_count(vms_.size());
 	gateway_.vms().set(self_.vm, members, proxy::steady_now());
 }
 
-void coordinator::on_vm_row(const row& one)
+void coordinator::on_vm_row(const row& table_row)
 {
-	if (one.removed)
+	if (table_row.removed)
 	{
-		vms_.erase(vm_id{one.key.substr(vm_prefix.size())});
+		vms_.erase(vm_id{table_row.key.substr(vm_key_prefix.size())});
 		return;
 	}
-	if (const auto vm = read_vm(one))
+	if (const auto vm = read_vm(table_row))
 	{
 		vms_[vm->vm] = *vm;
 	}
 	else
 	{
-		log_findings("VM's row not understood", vm.error());
+		log_findings("invalid VM row", vm.error());
 	}
 }
 
-void coordinator::on_plan_row(const row& one)
+void coordinator::on_plan_row(const row& table_row)
 {
-	if (const auto plan = read_plan(one))
+	if (const auto plan = read_plan(table_row))
 	{
 		gateway_.versions().on_plan(*plan, proxy::steady_now());
 	}
 	else
 	{
-		log_findings("plan not understood", plan.error());
+		log_findings("invalid version shift plan", plan.error());
 	}
 }
 
@@ -397,7 +400,7 @@
 		});
 }
 
-void coordinator::arm()
+void coordinator::schedule_write()
 {
 	const auto next = gateway_.versions().next_due();
 	if (!next)
@@ -410,53 +413,54 @@
 		{
 			if (!error)
 			{
-				write_due();
+				write_due_changes();
 			}
 		});
 }
 
-void coordinator::write_due()
+void coordinator::write_due_changes()
 {
-	for (const auto& one : gateway_.versions().due(proxy::steady_now()))
+	for (const auto& due_write : gateway_.versions().due(proxy::steady_now()))
 	{
-		write(one);
+		write(due_write);
 	}
-	arm();
+	schedule_write();
 }
 
-void coordinator::write(const rollout::shift_write& what)
+void coordinator::write(const rollout::shift_write& shift)
 {
 	row_change change;
-	if (what.plan)
+	if (shift.plan)
 	{
-		const auto key = plan_prefix + what.plan->service.str();
-		change.conditions.push_back({layout_.own_table, key, what.plan->row});
-		change.puts.push_back({layout_.own_table, key, write_plan(*what.plan)});
-		change.puts.push_back(layout_.status_row(*what.plan));
-		log::write(log::level::info, "version shift written",
-			{{"service", what.plan->service.str()}, {"state", rollout::name_of(what.plan->state)},
-				{"on_row_version", what.plan->row.value()}});
+		const auto key = plan_key_prefix + shift.plan->service.str();
+		change.conditions.push_back({layout_.own_table, key, shift.plan->row});
+		change.puts.push_back({layout_.own_table, key, write_plan(*shift.plan)});
+		change.puts.push_back(layout_.status_row(*shift.plan));
+		log::write(log::level::info, "writing version shift plan",
+			{{"service", shift.plan->service.str()}, {"state", rollout::name_of(shift.plan->state)},
+				{"on_row_version", shift.plan->row.value()}});
 	}
-	for (const auto& one : what.evidence)
+	for (const auto& reported : shift.evidence)
 	{
-		const auto& reporter = one.reporter.empty() ? reporter_ : one.reporter;
-		const auto key = one.evidence.service.str() + "/" + reporter;
-		change.puts.push_back({layout_.evidence_table, key, write_evidence(one.evidence)});
+		const auto& reporter = reported.reporter.empty() ? reporter_ : reported.reporter;
+		const auto key = reported.evidence.service.str() + "/" + reporter;
+		change.puts.push_back({layout_.evidence_table, key, write_evidence(reported.evidence)});
 	}
-	store_.change(change, [this](store_result<change_answer> answer) { on_written(std::move(answer)); });
+	shared_store_.change(
+		change, [this](store_result<change_result> result) { on_written(std::move(result)); });
 }
 
-void coordinator::on_written(store_result<change_answer> answer)
+void coordinator::on_written(store_result<change_result> result)
 {
-	if (!answer)
+	if (!result)
 	{
-		log::write(log::level::warn, "write not confirmed", {{"why", name_of(answer.error())}});
+		log::write(log::level::warn, "registry write not confirmed", {{"why", name_of(result.error())}});
 		return;
 	}
-	if (!answer->done)
+	if (!result->committed)
 	{
-		// Another VM was first: its row is the one that counts.
-		on_own_rows(answer->rows);
+		// Another VM wrote the row first, and its row takes precedence.
+		on_own_rows(result->rows);
 	}
 }
 } // namespace gingerdyke::control
--- a/src/control/own_rows.cpp
+++ b/src/control/own_rows.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Rows of our own table, as JSON.
+// JSON encoding of the rows in the router's own tables.
 #include <algorithm>
 #include <gingerdyke/control/coordinator.hpp>
 #include <gingerdyke/control/row_json.hpp>
@@ -8,59 +8,60 @@
 {
 namespace
 {
-json counts_json(const rollout::answer_counts& counts)
+json counts_to_json(const rollout::response_counts& counts)
 {
-	return {{"answers", counts.answers}, {"failed", counts.failed}};
+	return {{"answers", counts.responses}, {"failed", counts.failed}};
 }
 
-rollout::answer_counts counts_of(const json& value)
+rollout::response_counts counts_from_json(const json& value)
 {
 	return {value.at("answers").get<std::uint64_t>(), value.at("failed").get<std::uint64_t>()};
 }
 
-json cells_json(const rollout::by_cell<rollout::answer_counts>& seen)
+json cells_to_json(const rollout::by_cell<rollout::response_counts>& seen)
 {
 	json cells = json::array();
 	for (const auto& [cell, counts] : seen)
 	{
-		cells.push_back({cell, counts.answers, counts.failed});
+		cells.push_back({cell, counts.responses, counts.failed});
 	}
 	return cells;
 }
 
-rollout::by_cell<rollout::answer_counts> cells_of(const json& value)
+rollout::by_cell<rollout::response_counts> cells_from_json(const json& value)
 {
-	rollout::by_cell<rollout::answer_counts> seen;
-	for (const auto& one : value)
+	rollout::by_cell<rollout::response_counts> seen;
+	for (const auto& element : value)
 	{
-		seen[one.at(0).get<rollout::cell_index>()] +=
-			{one.at(1).get<std::uint64_t>(), one.at(2).get<std::uint64_t>()};
+		seen[element.at(0).get<rollout::cell_index>()] +=
+			{element.at(1).get<std::uint64_t>(), element.at(2).get<std::uint64_t>()};
 	}
 	return seen;
 }
 
-json route_json(const rollout::route_evidence& seen)
+json route_to_json(const rollout::route_evidence& seen)
 {
-	return {{"before", counts_json(seen.before)}, {"old", cells_json(seen.old_version)},
-		{"new", cells_json(seen.new_version)}};
+	return {{"before", counts_to_json(seen.pre_trial)}, {"old", cells_to_json(seen.old_version)},
+		{"new", cells_to_json(seen.new_version)}};
 }
 
-rollout::route_evidence route_of(const json& value)
+rollout::route_evidence route_from_json(const json& value)
 {
-	return {counts_of(value.at("before")), cells_of(value.at("old")), cells_of(value.at("new"))};
+	return {counts_from_json(value.at("before")), cells_from_json(value.at("old")),
+		cells_from_json(value.at("new"))};
 }
 
-rollout::answer_times times_of(const json& value)
+rollout::latency_histogram times_from_json(const json& value)
 {
-	rollout::answer_times times;
+	rollout::latency_histogram times;
 	for (std::size_t level = 0; level < value.size(); ++level)
 	{
-		times.set(level, value[level].get<std::uint32_t>());
+		times.set_count(level, value[level].get<std::uint32_t>());
 	}
 	return times;
 }
 
-json time_cells_json(const rollout::by_cell<rollout::answer_times>& seen)
+json time_cells_to_json(const rollout::by_cell<rollout::latency_histogram>& seen)
 {
 	json cells = json::array();
 	for (const auto& [cell, times] : seen)
@@ -70,34 +71,36 @@
 	return cells;
 }
 
-rollout::by_cell<rollout::answer_times> time_cells_of(const json& value)
+rollout::by_cell<rollout::latency_histogram> time_cells_from_json(const json& value)
 {
-	rollout::by_cell<rollout::answer_times> seen;
-	for (const auto& one : value)
+	rollout::by_cell<rollout::latency_histogram> seen;
+	for (const auto& element : value)
 	{
-		seen[one.at(0).get<rollout::cell_index>()] += times_of(one.at(1));
+		seen[element.at(0).get<rollout::cell_index>()] += times_from_json(element.at(1));
 	}
 	return seen;
 }
 
-json models_json(const rollout::times_by_model& times)
+json models_to_json(const rollout::latencies_by_model& times)
 {
 	json models = json::array();
 	for (const auto& [model, seen] : times)
 	{
-		models.push_back({{"model", model}, {"usual", seen.usual.counts()}, {"before", seen.before.counts()},
-			{"old", time_cells_json(seen.old_version)}, {"new", time_cells_json(seen.new_version)}});
+		models.push_back({{"model", model}, {"usual", seen.baseline.counts()},
+			{"before", seen.pre_trial.counts()}, {"old", time_cells_to_json(seen.old_version)},
+			{"new", time_cells_to_json(seen.new_version)}});
 	}
 	return models;
 }
 
-rollout::times_by_model models_of(const json& value)
+rollout::latencies_by_model models_from_json(const json& value)
 {
-	rollout::times_by_model times;
-	for (const auto& one : value)
+	rollout::latencies_by_model times;
+	for (const auto& element : value)
 	{
-		times[one.at("model").get<std::string>()] = {times_of(one.at("usual")), times_of(one.at("before")),
-			time_cells_of(one.at("old")), time_cells_of(one.at("new"))};
+		times[element.at("model").get<std::string>()] = {times_from_json(element.at("usual")),
+			times_from_json(element.at("before")), time_cells_from_json(element.at("old")),
+			time_cells_from_json(element.at("new"))};
 	}
 	return times;
 }
@@ -117,7 +120,7 @@
 
 checked<rollout::shift_plan> read_plan(const row& from)
 {
-	return read_json<rollout::shift_plan>(from,
+	return parse_row_value<rollout::shift_plan>(from,
 		[&](const json& value) -> checked<rollout::shift_plan>
 		{
 			rollout::shift_plan plan;
@@ -135,7 +138,7 @@
 			const auto state = rollout::parse_shift_state(value.at("state").get<std::string>());
 			if (!state)
 			{
-				return unreadable(from, "no known state");
+				return row_error(from, "unknown shift state");
 			}
 			plan.state = *state;
 			return plan;
@@ -144,20 +147,20 @@
 
 std::string write_vm(const peer& vm)
 {
-	return json{{"vm", vm.vm.str()}, {"domain", vm.domain.str()}, {"address", vm.at.str()},
+	return json{{"vm", vm.vm.str()}, {"domain", vm.domain.str()}, {"address", vm.address.str()},
 		{"link_mbps", vm.link_mbps}}
 		.dump();
 }
 
 checked<peer> read_vm(const row& from)
 {
-	return read_json<peer>(from,
+	return parse_row_value<peer>(from,
 		[&](const json& value) -> checked<peer>
 		{
 			const auto at = routing::address::parse(value.at("address").get<std::string>());
 			if (!at)
 			{
-				return unreadable(from, "address is not IP:PORT");
+				return row_error(from, "address is not IP:PORT");
 			}
 			return peer{vm_id{value.at("vm").get<std::string>()},
 				failure_domain_id{value.at("domain").get<std::string>()}, *at,
@@ -170,31 +173,32 @@
 	json routes = json::array();
 	for (const auto& [route, seen] : evidence.seen.by_route)
 	{
-		auto written = route_json(seen);
+		auto written = route_to_json(seen);
 		written["route"] = route;
 		routes.push_back(std::move(written));
 	}
 	return json{{"service", evidence.service.str()}, {"order", evidence.order.value()}, {"routes", routes},
-		{"models", models_json(evidence.seen.by_model)}, {"paces", models_json(evidence.seen.by_pace)},
-		{"late", route_json(evidence.seen.late)}}
+		{"models", models_to_json(evidence.seen.first_byte_by_model)},
+		{"paces", models_to_json(evidence.seen.event_intervals_by_model)},
+		{"late", route_to_json(evidence.seen.peak_load_phase)}}
 		.dump();
 }
 
 checked<rollout::shift_evidence> read_evidence(const row& from)
 {
-	return read_json<rollout::shift_evidence>(from,
+	return parse_row_value<rollout::shift_evidence>(from,
 		[](const json& value) -> checked<rollout::shift_evidence>
 		{
 			rollout::shift_evidence evidence;
 			evidence.service = service_id{value.at("service").get<std::string>()};
 			evidence.order = row_version{value.at("order").get<std::int64_t>()};
-			for (const auto& one : value.at("routes"))
+			for (const auto& route : value.at("routes"))
 			{
-				evidence.seen.by_route[one.at("route").get<std::string>()] = route_of(one);
+				evidence.seen.by_route[route.at("route").get<std::string>()] = route_from_json(route);
 			}
-			evidence.seen.late = route_of(value.at("late"));
-			evidence.seen.by_model = models_of(value.at("models"));
-			evidence.seen.by_pace = models_of(value.at("paces"));
+			evidence.seen.peak_load_phase = route_from_json(value.at("late"));
+			evidence.seen.first_byte_by_model = models_from_json(value.at("models"));
+			evidence.seen.event_intervals_by_model = models_from_json(value.at("paces"));
 			return evidence;
 		});
 }
--- a/src/control/relay_codec.cpp
+++ b/src/control/relay_codec.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Frames with which VMs read the registry through each other.
+// Wire format with which VMs read the registry through each other.
 #include "report_message.hpp"
 
 #include <algorithm>
@@ -15,19 +15,19 @@
 using apache::thrift::protocol::TCompactProtocol;
 using apache::thrift::transport::TMemoryBuffer;
 
-constexpr std::int32_t outcome_rows = 0;
+constexpr std::int32_t outcome_success = 0;
 
-/// The number that stands for an error on the wire.
-std::int32_t outcome_of(store_error error)
+/// Encodes an error as an outcome number.
+std::int32_t outcome_number(store_error error)
 {
 	return static_cast<std::int32_t>(error) + 1;
 }
 
-store_error error_of(std::int32_t outcome)
+store_error outcome_error(std::int32_t outcome)
 {
 	for (const auto error : {store_error::unreachable, store_error::unavailable, store_error::history_gone})
 	{
-		if (outcome == outcome_of(error))
+		if (outcome == outcome_number(error))
 		{
 			return error;
 		}
@@ -36,17 +36,17 @@
 }
 
 template <typename Message>
-std::string frame_of(const Message& message)
+std::string encode_frame(const Message& message)
 {
 	const auto buffer = std::make_shared<TMemoryBuffer>();
 	TCompactProtocol protocol{buffer};
 	message.write(&protocol);
 	const auto body = buffer->getBufferAsString();
 	std::string frame;
-	frame.reserve(relay_length_bytes + body.size());
+	frame.reserve(frame_header_bytes + body.size());
 	constexpr unsigned byte_bits = 8;
 	constexpr unsigned byte_mask = 0xff;
-	for (std::size_t i = relay_length_bytes; i-- > 0;)
+	for (std::size_t i = frame_header_bytes; i-- > 0;)
 	{
 		frame.push_back(static_cast<char>((body.size() >> (i * byte_bits)) & byte_mask));
 	}
@@ -54,7 +54,7 @@
 }
 
 template <typename Message>
-std::optional<Message> message_of(std::string_view frame)
+std::optional<Message> decode_message(std::string_view frame)
 {
 	try
 	{
@@ -77,79 +77,79 @@
 std::string write_frame(const relay_poll& poll)
 {
 	wire::RelayPoll message;
-	message.call = poll.call;
+	message.call = poll.call_id;
 	message.table = poll.table;
 	message.whole = !poll.after.has_value();
 	message.after = poll.after.value_or(row_version{0}).value();
 	message.wait_us = poll.wait.count();
-	if (poll.oldest)
+	if (poll.max_age)
 	{
-		message.__set_oldest_us(poll.oldest->count());
+		message.__set_oldest_us(poll.max_age->count());
 	}
 	if (poll.report)
 	{
-		message.__set_report(written(*poll.report));
+		message.__set_report(to_wire(*poll.report));
 	}
-	return frame_of(message);
+	return encode_frame(message);
 }
 
-std::string write_frame(const relay_answer& answer)
+std::string write_frame(const relay_response& response)
 {
 	wire::RelayAnswer message;
-	message.call = answer.call;
-	if (answer.is_second_hand)
+	message.call = response.call_id;
+	if (response.is_relayed)
 	{
 		message.__set_second_hand(true);
 	}
-	if (answer.summary)
+	if (response.summary)
 	{
-		message.__set_summary(written(*answer.summary));
+		message.__set_summary(to_wire(*response.summary));
 	}
-	if (!answer.result)
+	if (!response.result)
 	{
-		message.outcome = outcome_of(answer.result.error());
-		return frame_of(message);
+		message.outcome = outcome_number(response.result.error());
+		return encode_frame(message);
 	}
-	const auto& batch = *answer.result;
-	message.outcome = outcome_rows;
-	for (const auto& one : batch.rows)
+	const auto& batch = *response.result;
+	message.outcome = outcome_success;
+	for (const auto& table_row : batch.rows)
 	{
-		auto& written = message.rows.emplace_back();
-		written.key = one.key;
-		written.value = one.value;
-		written.version = one.version.value();
-		written.removed = one.removed;
+		auto& wire_row = message.rows.emplace_back();
+		wire_row.key = table_row.key;
+		wire_row.value = table_row.value;
+		wire_row.version = table_row.version.value();
+		wire_row.removed = table_row.removed;
 	}
-	if (answer.packed)
+	if (response.packed)
 	{
-		message.__set_packed(*answer.packed);
+		message.__set_packed(*response.packed);
 	}
 	message.newest = batch.newest.value();
 	message.registry_time_us = batch.at.count();
 	message.age_us = batch.age.count();
-	return frame_of(message);
+	return encode_frame(message);
 }
 
 std::optional<std::size_t> frame_length(std::string_view first_bytes)
 {
 	constexpr unsigned byte_bits = 8;
 	std::size_t length = 0;
-	for (const auto c : first_bytes.substr(0, relay_length_bytes))
+	for (const auto c : first_bytes.substr(0, frame_header_bytes))
 	{
 		length = (length << byte_bits) | static_cast<unsigned char>(c);
 	}
-	return length <= largest_relay_frame ? std::optional{length} : std::nullopt;
+	return length <= max_frame_bytes ? std::optional{length} : std::nullopt;
 }
 
 std::optional<relay_poll> read_poll(std::string_view frame)
 {
-	const auto message = message_of<wire::RelayPoll>(frame);
+	const auto message = decode_message<wire::RelayPoll>(frame);
 	if (!message)
 	{
 		return std::nullopt;
 	}
 	relay_poll poll;
-	poll.call = message->call;
+	poll.call_id = message->call;
 	poll.table = message->table;
 	if (!message->whole)
 	{
@@ -158,38 +158,39 @@
 	poll.wait = duration{message->wait_us};
 	if (message->__isset.oldest_us)
 	{
-		poll.oldest = duration{message->oldest_us};
+		poll.max_age = duration{message->oldest_us};
 	}
 	if (message->__isset.report)
 	{
-		poll.report = read(message->report);
+		poll.report = from_wire(message->report);
 	}
 	return poll;
 }
 
-std::optional<relay_answer> read_answer(std::string_view frame)
+std::optional<relay_response> read_response(std::string_view frame)
 {
-	const auto message = message_of<wire::RelayAnswer>(frame);
+	const auto message = decode_message<wire::RelayAnswer>(frame);
 	if (!message)
 	{
 		return std::nullopt;
 	}
-	relay_answer answer;
-	answer.call = message->call;
-	answer.is_second_hand = message->__isset.second_hand && message->second_hand;
+	relay_response response;
+	response.call_id = message->call;
+	response.is_relayed = message->__isset.second_hand && message->second_hand;
 	if (message->__isset.summary)
 	{
-		answer.summary = read(message->summary);
+		response.summary = from_wire(message->summary);
 	}
-	if (message->outcome != outcome_rows)
+	if (message->outcome != outcome_success)
 	{
-		answer.result = tl::make_unexpected(error_of(message->outcome));
-		return answer;
+		response.result = tl::make_unexpected(outcome_error(message->outcome));
+		return response;
 	}
 	row_batch batch;
-	for (const auto& one : message->rows)
+	for (const auto& table_row : message->rows)
 	{
-		batch.rows.push_back({{}, one.key, one.value, row_version{one.version}, one.removed});
+		batch.rows.push_back(
+			{{}, table_row.key, table_row.value, row_version{table_row.version}, table_row.removed});
 	}
 	if (message->__isset.packed)
 	{
@@ -203,7 +204,7 @@
 	batch.newest = row_version{message->newest};
 	batch.at = registry_time{message->registry_time_us};
 	batch.age = std::max(duration{message->age_us}, duration{0});
-	answer.result = std::move(batch);
-	return answer;
+	response.result = std::move(batch);
+	return response;
 }
 } // namespace gingerdyke::control
--- a/src/control/suspect_rows.cpp
+++ b/src/control/suspect_rows.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Requests under which replicas ended, in the registry.
+// Stores requests during which replicas terminated in the registry.
 #include <algorithm>
 #include <gingerdyke/control/row_json.hpp>
 #include <gingerdyke/control/suspect_rows.hpp>
@@ -10,7 +10,7 @@
 {
 namespace
 {
-json lives_json(const std::set<quarantine::process_life>& lives)
+json lives_to_json(const std::set<quarantine::process_instance>& lives)
 {
 	json all = json::array();
 	for (const auto life : lives)
@@ -20,58 +20,59 @@
 	return all;
 }
 
-std::set<quarantine::process_life> lives_of(const json& value)
+std::set<quarantine::process_instance> lives_from_json(const json& value)
 {
-	std::set<quarantine::process_life> all;
-	for (const auto& one : value)
+	std::set<quarantine::process_instance> all;
+	for (const auto& element : value)
 	{
-		all.insert(quarantine::process_life{one.get<std::int64_t>()});
+		all.insert(quarantine::process_instance{element.get<std::int64_t>()});
 	}
 	return all;
 }
 
-json ended_json(const quarantine::ended_lives& ended)
+json ended_to_json(const quarantine::process_exits& ended)
 {
 	json all = json::array();
 	for (const auto& [life, together] : ended)
 	{
-		all.push_back({{"life", life.value()}, {"together", lives_json(together)}});
+		all.push_back({{"life", life.value()}, {"together", lives_to_json(together)}});
 	}
 	return all;
 }
 
-quarantine::ended_lives ended_of(const json& value)
+quarantine::process_exits ended_from_json(const json& value)
 {
-	quarantine::ended_lives all;
-	for (const auto& one : value)
+	quarantine::process_exits all;
+	for (const auto& element : value)
 	{
-		all[quarantine::process_life{one.at("life").get<std::int64_t>()}] = lives_of(one.at("together"));
+		all[quarantine::process_instance{element.at("life").get<std::int64_t>()}] =
+			lives_from_json(element.at("together"));
 	}
 	return all;
 }
 
 std::string row_key_of(const quarantine::request_key& key)
 {
-	return std::string{suspect_prefix} + key.str();
+	return std::string{suspect_key_prefix} + key.str();
 }
 } // namespace
 
-std::string write_suspicion(const stored_suspicion& what)
+std::string write_suspicion(const stored_suspicion& stored)
 {
-	return json{{"ended", ended_json(what.known.ended)}, {"survived", lives_json(what.known.survived)},
-		{"last_end_us", what.last_end.count()}}
+	return json{{"ended", ended_to_json(stored.known.ended)},
+		{"survived", lives_to_json(stored.known.survived)}, {"last_end_us", stored.last_end.count()}}
 		.dump();
 }
 
 checked<stored_suspicion> read_suspicion(const row& from)
 {
-	return read_json<stored_suspicion>(from,
+	return parse_row_value<stored_suspicion>(from,
 		[&](const json& value) -> checked<stored_suspicion>
 		{
 			stored_suspicion read;
-			read.known.key = quarantine::request_key{from.key.substr(suspect_prefix.size())};
-			read.known.ended = ended_of(value.at("ended"));
-			read.known.survived = lives_of(value.at("survived"));
+			read.known.key = quarantine::request_key{from.key.substr(suspect_key_prefix.size())};
+			read.known.ended = ended_from_json(value.at("ended"));
+			read.known.survived = lives_from_json(value.at("survived"));
 			read.last_end = registry_time{value.at("last_end_us").get<std::int64_t>()};
 			return read;
 		});
@@ -85,50 +86,50 @@
 
 void suspect_rows::note_registry_time(registry_time at, instant now)
 {
-	offset_ = at - now.time_since_epoch();
-	for (const auto& one : std::exchange(early_, {}))
+	registry_clock_offset_ = at - now.time_since_epoch();
+	for (const auto& table_row : std::exchange(rows_before_clock_, {}))
 	{
-		on_row(one, now);
+		on_row(table_row, now);
 	}
 }
 
-void suspect_rows::on_row(const row& one, instant now)
+void suspect_rows::on_row(const row& table_row, instant now)
 {
-	if (!offset_)
+	if (!registry_clock_offset_)
 	{
-		early_.push_back(one);
+		rows_before_clock_.push_back(table_row);
 		return;
 	}
-	if (one.removed)
+	if (table_row.removed)
 	{
-		rows_.erase(one.key);
-		suspects_.forget(quarantine::request_key{one.key.substr(suspect_prefix.size())});
+		rows_.erase(table_row.key);
+		suspects_.forget(quarantine::request_key{table_row.key.substr(suspect_key_prefix.size())});
 		return;
 	}
-	take(one, now);
+	apply_row(table_row, now);
 }
 
-void suspect_rows::take(const row& one, instant now)
+void suspect_rows::apply_row(const row& table_row, instant now)
 {
-	auto& known = rows_[one.key];
-	known.version = one.version;
-	const auto read = read_suspicion(one);
+	auto& known = rows_[table_row.key];
+	known.version = table_row.version;
+	const auto read = read_suspicion(table_row);
 	if (!read)
 	{
-		log::write(log::level::error, "suspicion not understood", {{"findings", to_text(read.error())}});
+		log::write(log::level::error, "invalid suspected request row", {{"findings", to_text(read.error())}});
 		return;
 	}
-	known.last_end = std::min(now, instant{read->last_end - *offset_});
-	suspects_.note_stored(read->known, *known.last_end, now);
+	known.last_end = std::min(now, instant{read->last_end - *registry_clock_offset_});
+	suspects_.merge_stored(read->known, *known.last_end, now);
 	arm();
 }
 
 void suspect_rows::arm()
 {
-	arm_after(tuning_.gather);
+	write_after(tuning_.batch_delay);
 }
 
-void suspect_rows::arm_after(duration pause)
+void suspect_rows::write_after(duration pause)
 {
 	if (is_armed_ || is_writing_ || suspects_.unstored(reads_registry_, proxy::steady_now()).empty())
 	{
@@ -155,120 +156,121 @@
 void suspect_rows::write()
 {
 	const auto now = proxy::steady_now();
-	auto news = suspects_.unstored(reads_registry_, now);
-	if (news.empty())
+	auto to_store = suspects_.unstored(reads_registry_, now);
+	if (to_store.empty())
 	{
 		return;
 	}
-	news.resize(std::min(news.size(), tuning_.most_rows));
-	if (!offset_)
+	to_store.resize(std::min(to_store.size(), tuning_.max_rows_per_change));
+	if (!registry_clock_offset_)
 	{
-		arm_after(tuning_.again);
+		write_after(tuning_.retry_delay);
 		return;
 	}
-	const auto change = change_for(news, now);
+	const auto change = make_change(to_store, now);
 	is_writing_ = true;
 	registry_.change(change,
-		[this, news, change](const store_result<change_answer>& answer)
+		[this, to_store, change](const store_result<change_result>& result)
 		{
 			is_writing_ = false;
-			on_written(news, change, answer);
+			on_written(to_store, change, result);
 		});
-	remove_old(now);
+	remove_expired(now);
 }
 
-row_change suspect_rows::change_for(const std::vector<quarantine::suspicion>& news, instant now) const
+row_change suspect_rows::make_change(const std::vector<quarantine::suspicion>& to_store, instant now) const
 {
 	row_change change;
-	for (const auto& one : news)
+	for (const auto& suspicion : to_store)
 	{
-		const auto key = row_key_of(one.key);
-		const auto last_end = suspects_.last_end(one.key).value_or(now);
-		const stored_suspicion stored{one, last_end.time_since_epoch() + *offset_};
-		change.conditions.push_back(unchanged(key));
+		const auto key = row_key_of(suspicion.key);
+		const auto last_end = suspects_.last_exit(suspicion.key).value_or(now);
+		const stored_suspicion stored{suspicion, last_end.time_since_epoch() + *registry_clock_offset_};
+		change.conditions.push_back(unchanged_condition(key));
 		change.puts.push_back({table_, key, write_suspicion(stored)});
 	}
 	return change;
 }
 
-row_change::condition suspect_rows::unchanged(const std::string& key) const
+row_change::condition suspect_rows::unchanged_condition(const std::string& key) const
 {
 	const auto known = rows_.find(key);
 	return {table_, key, known == rows_.end() ? row_version{0} : known->second.version};
 }
 
 void suspect_rows::on_written(const std::vector<quarantine::suspicion>& written, const row_change& change,
-	const store_result<change_answer>& answer)
+	const store_result<change_result>& result)
 {
 	const auto now = proxy::steady_now();
-	if (!answer)
+	if (!result)
 	{
-		log::write(log::level::warn, "suspicions not stored",
-			{{"why", name_of(answer.error())}, {"count", written.size()}});
-		arm_after(tuning_.again);
+		log::write(log::level::warn, "storing suspected requests failed",
+			{{"why", name_of(result.error())}, {"count", written.size()}});
+		write_after(tuning_.retry_delay);
 		return;
 	}
-	if (!answer->done)
+	if (!result->committed)
 	{
-		on_changed_meanwhile(change, answer->rows, now);
+		on_conflict(change, result->rows, now);
 		return;
 	}
-	log::write(log::level::info, "suspicions stored", {{"count", written.size()}});
-	for (const auto& one : written)
+	log::write(log::level::info, "suspected requests stored", {{"count", written.size()}});
+	for (const auto& suspicion : written)
 	{
-		suspects_.note_stored(one, suspects_.last_end(one.key).value_or(now), now);
+		suspects_.merge_stored(suspicion, suspects_.last_exit(suspicion.key).value_or(now), now);
 	}
 	arm();
 }
 
-/// What the rows tell is taken first; what they still lack is written with the next change.
-void suspect_rows::on_changed_meanwhile(const row_change& tried, const std::vector<row>& present, instant now)
+/// Applies the current rows first; what they lack is written with the next change.
+void suspect_rows::on_conflict(const row_change& attempted, const std::vector<row>& current_rows, instant now)
 {
-	log::write(log::level::info, "suspicions changed by another VM", {{"count", present.size()}});
-	for (const auto& one : present)
+	log::write(
+		log::level::info, "suspected requests changed by another VM", {{"count", current_rows.size()}});
+	for (const auto& table_row : current_rows)
 	{
-		on_row(one, now);
+		on_row(table_row, now);
 	}
-	for (const auto& one : tried.conditions)
+	for (const auto& condition : attempted.conditions)
 	{
-		const bool is_present = std::any_of(
-			present.begin(), present.end(), [&](const row& other) { return other.key == one.key; });
-		if (!is_present && one.version != row_version{0})
+		const bool still_exists = std::any_of(current_rows.begin(), current_rows.end(),
+			[&](const row& other) { return other.key == condition.key; });
+		if (!still_exists && condition.version != row_version{0})
 		{
-			on_row({table_, one.key, {}, one.version, true}, now);
+			on_row({table_, condition.key, {}, condition.version, true}, now);
 		}
 	}
 	arm();
 }
 
-/// Whoever writes also clears away: rows are only read where they are few.
-void suspect_rows::remove_old(instant now)
+/// Removal is combined with writes, which keeps the number of rows small for all readers.
+void suspect_rows::remove_expired(instant now)
 {
 	row_change change;
 	for (const auto& [key, known] : rows_)
 	{
-		const bool is_old = known.last_end && now - *known.last_end > tuning_.lifetime;
-		if (is_old && change.removes.size() < tuning_.most_rows)
+		const bool is_expired = known.last_end && now - *known.last_end > tuning_.lifetime;
+		if (is_expired && change.removals.size() < tuning_.max_rows_per_change)
 		{
-			change.conditions.push_back(unchanged(key));
-			change.removes.push_back({table_, key});
+			change.conditions.push_back(unchanged_condition(key));
+			change.removals.push_back({table_, key});
 		}
 	}
-	if (change.removes.empty())
+	if (change.removals.empty())
 	{
 		return;
 	}
 	registry_.change(change,
-		[this, change](const store_result<change_answer>& answer)
+		[this, change](const store_result<change_result>& result)
 		{
-			if (!answer)
+			if (!result)
 			{
-				log::write(
-					log::level::warn, "old suspicions not removed", {{"why", name_of(answer.error())}});
+				log::write(log::level::warn, "removing expired suspected requests failed",
+					{{"why", name_of(result.error())}});
 			}
-			else if (!answer->done)
+			else if (!result->committed)
 			{
-				on_changed_meanwhile(change, answer->rows, proxy::steady_now());
+				on_conflict(change, result->rows, proxy::steady_now());
 			}
 		});
 }
--- a/src/node/request_desk_endings.cpp
+++ b/src/node/request_desk_endings.cpp
@@ -81,7 +81,7 @@
 	const bool judged = report.end == attempt_end::complete || report.end == attempt_end::failed;
 	if (version != nullptr && judged)
 	{
-		parts_.gate.note_answer(*version, report.end == attempt_end::failed);
+		parts_.gate.record_response(*version, report.end == attempt_end::failed);
 		record.on_permit = false;
 	}
 }
@@ -96,7 +96,7 @@
 	}
 	const auto* version = record.table->version(record.version);
 	const auto rate = version == nullptr ? micro_cost{0} : version->cost_per_thousand;
-	record.bill.lines.push_back({record.version, used, price(used, rate)});
+	record.bill.lines.push_back({record.version, used, token_cost(used, rate)});
 }
 
 bool request_desk::escalates(const record& record, const attempt_report& report)
@@ -208,7 +208,7 @@
 	refuse_order word{why.status, why.message, why.retry_after, facts_of(record, ran, why.code)};
 	if (record.on_permit)
 	{
-		parts_.gate.give_back(record.version);
+		parts_.gate.return_permit(record.version);
 	}
 	if (record.held_answer)
 	{
@@ -294,7 +294,7 @@
 	auto lines = record.bill.lines;
 	const auto* version = record.table->version(record.version);
 	const auto rate = version == nullptr ? micro_cost{0} : version->cost_per_thousand;
-	lines.push_back({record.version, report.used, price(report.used, rate)});
+	lines.push_back({record.version, report.used, token_cost(report.used, rate)});
 	parts_.outbox.note_progress(record.in.id, lines);
 }
 
--- a/src/proxy/caller_link.cpp
+++ b/src/proxy/caller_link.cpp
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: MIT
-// One connection of a caller.
+// A caller's HTTP connection.
 #include <gingerdyke/proxy/caller_link.hpp>
 
 namespace gingerdyke::proxy
 {
 namespace
 {
-/// Bytes asked for by one read. Each connection holds as many, idle ones too.
+/// Buffer size of one read. Every connection, even an idle one, holds a buffer of this size.
 constexpr std::size_t read_size = 4096;
 
-/// Bytes of further requests that are taken in while one is answered; beyond them the caller has to wait.
-constexpr std::size_t pipelined_bytes = 65536;
+/// Bytes of pipelined requests that are read while a response is in progress; beyond that, reading pauses.
+constexpr std::size_t max_pipelined_bytes = 65536;
 
-/// Bytes that may wait to be written to a caller. One that reads slower than its answer comes is given up
-/// beyond them: the users' largest answers have a few thousand bytes, and a VM has 160 MB.
-constexpr std::size_t most_pending = 4U << 20U;
+/// Maximum size of unsent output. A caller that reads more slowly than its response arrives is disconnected
+/// beyond it: the users' largest responses have a few thousand bytes, and a VM has 160 MB of memory.
+constexpr std::size_t max_pending_bytes = 4U << 20U;
 
-/// A caller that has its last answer gets this long to close; then the connection is closed here.
-constexpr duration close_wait = std::chrono::seconds{1};
+/// After its last response a caller has this long to close the connection before it is closed here.
+constexpr duration close_timeout = std::chrono::seconds{1};
 
 constexpr int bad_request = 400;
 constexpr int request_timeout = 408;
@@ -29,34 +29,35 @@
 	return {static_cast<const char*>(buffer.data().data()), buffer.size()};
 }
 
-/// Position after the empty line that ends a header block; none where it is not there yet.
-std::optional<std::size_t> end_of_block(std::string_view bytes)
+/// Position after the empty line that ends a header block; none if it has not arrived yet.
+std::optional<std::size_t> find_header_end(std::string_view bytes)
 {
 	const auto crlf = bytes.find("\r\n\r\n");
 	if (crlf != std::string_view::npos)
 	{
 		return crlf + 4;
 	}
-	// A block of bare line feeds is found as well, to be refused at once.
+	// A block with bare line feeds is also found, so that it is rejected immediately.
 	const auto bare = bytes.find("\n\n");
 	return bare == std::string_view::npos ? std::nullopt : std::optional{bare + 2};
 }
 } // namespace
 
-caller_link::caller_link(tcp::socket socket, std::shared_ptr<const caller_link_host> host)
-	: socket_(std::move(socket)), host_(std::move(host)), limits_(host_->limits()),
+caller_connection::caller_connection(
+	tcp::socket socket, std::shared_ptr<const caller_connection_callbacks> callbacks)
+	: socket_(std::move(socket)), callbacks_(std::move(callbacks)), limits_(callbacks_->limits()),
 	  timer_(socket_.get_executor())
 {
 }
 
-void caller_link::start()
+void caller_connection::start()
 {
 	set_connection_options(socket_);
-	arm_timer(limits_.idle_time);
+	arm_timer(limits_.idle_timeout);
 	read();
 }
 
-void caller_link::close_if_idle()
+void caller_connection::close_if_idle()
 {
 	if (state_ == state::idle)
 	{
@@ -64,39 +65,39 @@
 	}
 }
 
-void caller_link::send(whole_answer answer)
+void caller_connection::send(response outgoing)
 {
-	if (state_ != state::answering)
+	if (state_ != state::responding)
 	{
 		return;
 	}
-	const bool stays = keep_alive_ && !host_->stopping();
-	header_fields framing{{"Content-Length", std::to_string(answer.body.size())}};
-	if (!stays)
+	const bool stays_open = keep_alive_ && !callbacks_->stopping();
+	header_fields framing{{"Content-Length", std::to_string(outgoing.body.size())}};
+	if (!stays_open)
 	{
 		framing.push_back({"Connection", "close"});
 	}
-	if (answer.reason.empty())
+	if (outgoing.reason.empty())
 	{
-		answer.reason = reason_of(answer.status);
+		outgoing.reason = reason_phrase(outgoing.status);
 	}
-	auto bytes = write_head(answer.status, answer.reason, answer.fields, framing);
-	if (!is_head_)
+	auto bytes = write_head(outgoing.status, outgoing.reason, outgoing.fields, framing);
+	if (!is_head_request_)
 	{
-		bytes += answer.body;
+		bytes += outgoing.body;
 	}
 	write(bytes);
-	finish_answer(stays);
+	finish_response(stays_open);
 }
 
-void caller_link::begin(int status, std::string_view reason, const header_fields& fields)
+void caller_connection::send_head(int status, std::string_view reason, const header_fields& fields)
 {
-	if (state_ != state::answering)
+	if (state_ != state::responding)
 	{
 		return;
 	}
 	is_chunked_ = request_.is_http_11;
-	keep_alive_ = keep_alive_ && is_chunked_ && !host_->stopping();
+	keep_alive_ = keep_alive_ && is_chunked_ && !callbacks_->stopping();
 	header_fields framing;
 	if (is_chunked_)
 	{
@@ -109,18 +110,18 @@
 	write(write_head(status, reason, fields, framing));
 }
 
-void caller_link::pass(std::string_view bytes)
+void caller_connection::write_body(std::string_view bytes)
 {
-	if (state_ != state::answering || bytes.empty())
+	if (state_ != state::responding || bytes.empty())
 	{
 		return;
 	}
 	write(is_chunked_ ? write_chunk(bytes) : std::string{bytes});
 }
 
-void caller_link::end()
+void caller_connection::end_stream()
 {
-	if (state_ != state::answering)
+	if (state_ != state::responding)
 	{
 		return;
 	}
@@ -128,10 +129,10 @@
 	{
 		write("0\r\n\r\n");
 	}
-	finish_answer(keep_alive_);
+	finish_response(keep_alive_);
 }
 
-void caller_link::break_off()
+void caller_connection::abort_stream()
 {
 	if (state_ == state::closed)
 	{
@@ -140,21 +141,22 @@
 	active_.reset();
 	if (!is_chunked_)
 	{
-		// Without chunks a plain end would look complete: reset instead.
+		// Without chunked encoding, an orderly close would look like a complete response: reset the
+		// connection.
 		error_code ignored;
 		socket_.set_option(asio::socket_base::linger{true, 0}, ignored);
 		close();
 		return;
 	}
 	state_ = state::finishing;
-	arm_timer(close_wait);
-	if (!write_under_way_)
+	arm_timer(close_timeout);
+	if (!is_writing_)
 	{
 		close();
 	}
 }
 
-void caller_link::read()
+void caller_connection::read()
 {
 	if (is_reading_ || state_ == state::closed)
 	{
@@ -169,7 +171,7 @@
 		});
 }
 
-void caller_link::on_read(const error_code& error, std::size_t size)
+void caller_connection::on_read(const error_code& error, std::size_t size)
 {
 	if (state_ == state::closed)
 	{
@@ -177,25 +179,25 @@
 	}
 	if (error)
 	{
-		on_gone();
+		on_disconnect();
 		return;
 	}
 	buffer_.commit(size);
 	if (state_ == state::finishing)
 	{
-		// Whatever comes after the last answer is not read as a request.
+		// Data after the last request of the connection is discarded.
 		buffer_.consume(buffer_.size());
 		read();
 		return;
 	}
 	advance();
-	if (buffer_.size() < pipelined_bytes)
+	if (buffer_.size() < max_pipelined_bytes)
 	{
 		read();
 	}
 }
 
-void caller_link::advance()
+void caller_connection::advance()
 {
 	bool more = true;
 	while (more && buffer_.size() > 0)
@@ -203,9 +205,9 @@
 		switch (state_)
 		{
 		case state::idle:
-			limits_ = host_->limits();
+			limits_ = callbacks_->limits();
 			state_ = state::reading_head;
-			arm_timer(limits_.header_time);
+			arm_timer(limits_.header_timeout);
 			break;
 		case state::reading_head:
 			more = read_head();
@@ -220,10 +222,10 @@
 	}
 }
 
-bool caller_link::read_head()
+bool caller_connection::read_head()
 {
 	const auto bytes = text_of(buffer_);
-	const auto size = end_of_block(bytes);
+	const auto size = find_header_end(bytes);
 	if (!size || *size > limits_.header_bytes)
 	{
 		if (bytes.size() > limits_.header_bytes)
@@ -232,7 +234,7 @@
 		}
 		return false;
 	}
-	if (const auto fault = find_ambiguity(bytes.substr(0, *size)))
+	if (const auto fault = find_header_fault(bytes.substr(0, *size)))
 	{
 		refuse(bad_request, *fault);
 		return false;
@@ -254,7 +256,7 @@
 	}
 	parser_->eager(true);
 	state_ = state::reading_body;
-	arm_timer(limits_.idle_time);
+	arm_timer(limits_.idle_timeout);
 	const auto expect = parser_->get()[beast::http::field::expect];
 	if (!parser_->is_done() && has_token({expect.data(), expect.size()}, "100-continue"))
 	{
@@ -262,16 +264,16 @@
 	}
 	if (parser_->is_done())
 	{
-		take_request();
+		start_request();
 	}
 	return true;
 }
 
-bool caller_link::read_body()
+bool caller_connection::read_body()
 {
 	error_code error;
-	const auto used = parser_->put(buffer_.data(), error);
-	buffer_.consume(used);
+	const auto consumed = parser_->put(buffer_.data(), error);
+	buffer_.consume(consumed);
 	if (error == beast::http::error::body_limit)
 	{
 		refuse(content_too_large, "body too large");
@@ -284,13 +286,13 @@
 	}
 	if (parser_->is_done())
 	{
-		take_request();
+		start_request();
 		return true;
 	}
-	return used > 0;
+	return consumed > 0;
 }
 
-void caller_link::take_request()
+void caller_connection::start_request()
 {
 	auto& message = parser_->get();
 	request_ = {};
@@ -306,88 +308,89 @@
 	request_.body = std::move(message.body());
 	parser_.reset();
 	keep_alive_ = request_.keep_alive;
-	is_head_ = request_.method == "HEAD";
+	is_head_request_ = request_.method == "HEAD";
 	is_chunked_ = false;
-	state_ = state::answering;
+	state_ = state::responding;
 	timer_.cancel();
 	if (request_.target.empty() || request_.target.front() != '/')
 	{
 		refuse(bad_request, "target is not a path");
 		return;
 	}
-	auto active = host_->handle(request_, shared_from_this());
-	if (state_ == state::answering)
+	auto active = callbacks_->handle(request_, shared_from_this());
+	if (state_ == state::responding)
 	{
 		active_ = std::move(active);
 	}
 }
 
-void caller_link::refuse(int status, const std::string& why)
+void caller_connection::refuse(int status, const std::string& why)
 {
-	state_ = state::answering;
+	state_ = state::responding;
 	keep_alive_ = false;
 	send({status, {}, {{"Content-Type", "text/plain"}}, why + "\n"});
 }
 
-void caller_link::write(std::string_view bytes)
+void caller_connection::write(std::string_view bytes)
 {
-	pending_ += bytes;
-	if (pending_.size() > most_pending)
+	pending_output_ += bytes;
+	if (pending_output_.size() > max_pending_bytes)
 	{
-		// Posted: whoever passes bytes on must not be cancelled in the middle of it.
-		asio::post(socket_.get_executor(), [self = shared_from_this()] { self->on_gone(); });
+		// Posted, because the writer of the response must not be cancelled in the middle of its call.
+		asio::post(socket_.get_executor(), [self = shared_from_this()] { self->on_disconnect(); });
 	}
-	if (!write_under_way_)
+	if (!is_writing_)
 	{
 		write_next();
 	}
 }
 
-void caller_link::write_next()
+void caller_connection::write_next()
 {
-	write_under_way_ = true;
-	writing_ = std::exchange(pending_, {});
-	asio::async_write(socket_, asio::buffer(writing_),
+	is_writing_ = true;
+	write_buffer_ = std::exchange(pending_output_, {});
+	asio::async_write(socket_, asio::buffer(write_buffer_),
 		[self = shared_from_this()](const error_code& error, std::size_t) { self->on_written(error); });
 }
 
-void caller_link::on_written(const error_code& error)
+void caller_connection::on_written(const error_code& error)
 {
-	write_under_way_ = false;
+	is_writing_ = false;
 	if (state_ == state::closed)
 	{
 		return;
 	}
 	if (error)
 	{
-		on_gone();
+		on_disconnect();
 		return;
 	}
-	if (!pending_.empty())
+	if (!pending_output_.empty())
 	{
 		write_next();
 		return;
 	}
 	if (state_ == state::finishing)
 	{
-		// The caller reads to the end first: closing with unread bytes would reset the connection.
+		// Only the sending side is shut down: closing with unread input would reset the connection before the
+		// caller has read the response.
 		error_code ignored;
 		socket_.shutdown(tcp::socket::shutdown_send, ignored);
 	}
 }
 
-void caller_link::finish_answer(bool may_continue)
+void caller_connection::finish_response(bool keep_open)
 {
 	active_.reset();
-	if (!may_continue)
+	if (!keep_open)
 	{
 		state_ = state::finishing;
-		arm_timer(close_wait);
+		arm_timer(close_timeout);
 		return;
 	}
 	state_ = state::idle;
-	arm_timer(limits_.idle_time);
-	// Posted, so that a run of pipelined requests does not deepen the stack.
+	arm_timer(limits_.idle_timeout);
+	// Posted, so that a series of pipelined requests does not recurse.
 	asio::post(socket_.get_executor(),
 		[self = shared_from_this()]
 		{
@@ -399,7 +402,7 @@
 		});
 }
 
-void caller_link::arm_timer(duration span)
+void caller_connection::arm_timer(duration span)
 {
 	timer_.expires_after(span);
 	timer_.async_wait(
@@ -412,7 +415,7 @@
 		});
 }
 
-void caller_link::on_timer()
+void caller_connection::on_timer()
 {
 	switch (state_)
 	{
@@ -429,7 +432,7 @@
 	}
 }
 
-void caller_link::on_gone()
+void caller_connection::on_disconnect()
 {
 	if (state_ == state::closed)
 	{
@@ -442,7 +445,7 @@
 	close();
 }
 
-void caller_link::close()
+void caller_connection::close()
 {
 	state_ = state::closed;
 	timer_.cancel();
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// One request: attempts and endings. Its admission is in exchange_admission.cpp, what its replica does in
-// exchange_answers.cpp.
+// Handling of a request: dispatch, retries and final outcomes. Admission is in exchange_admission.cpp,
+// responses of replicas in exchange_answers.cpp.
 #include <algorithm>
 #include <gingerdyke/base/crypto.hpp>
 #include <gingerdyke/proxy/exchange.hpp>
@@ -14,8 +14,8 @@
 constexpr int unavailable = 503;
 constexpr int gateway_timeout = 504;
 
-/// Lowest rank that engines know.
-constexpr unsigned lowest_rank = 9;
+/// Lowest priority that engines support.
+constexpr unsigned lowest_priority = 9;
 
 constexpr std::string_view any_model = "*";
 
@@ -28,15 +28,15 @@
 }
 } // namespace
 
-exchange::exchange(gateway& shared, request what, std::shared_ptr<answer_sink> to)
-	: shared_(shared), request_(std::move(what)), to_(std::move(to)), arrived_(steady_now()),
+exchange::exchange(gateway& shared, request incoming, std::shared_ptr<response_sink> output)
+	: shared_(shared), request_(std::move(incoming)), sink_(std::move(output)), arrived_(steady_now()),
 	  deadline_timer_(shared.context()), attempt_timer_(shared.context())
 {
 }
 
 duration exchange::time_left() const
 {
-	return ends_at_ - steady_now();
+	return deadline_ - steady_now();
 }
 
 void exchange::dispatch()
@@ -44,40 +44,41 @@
 	const auto now = steady_now();
 	if (workspace_ != nullptr && shared_.trust_in_keys(now) == key_trust::stale)
 	{
-		give_up(unavailable, "configuration too old to trust keys");
+		fail(unavailable, "configuration too old to trust keys");
 		return;
 	}
-	if (shared_.suspects().is_held(key_, now))
+	if (shared_.suspects().is_quarantined(request_key_, now))
 	{
-		refuse_held();
+		refuse_quarantined();
 		return;
 	}
-	if (shared_.suspects().is_open(key_, now))
+	if (shared_.suspects().is_undecided(request_key_, now))
 	{
-		// A round trip later it is known whether the replica ended, and whether others did with it.
-		shared_.ends().when_settled(
+		// Within one round trip it is known whether the replica's process exited, and whether others exited
+		// with it.
+		shared_.exit_detector().when_resolved(
 			[self = shared_from_this()]
 			{
-				if (!self->over_)
+				if (!self->finished_)
 				{
 					self->dispatch();
 				}
 			});
 		return;
 	}
-	if (time_left() < shared_.tuning().least_time)
+	if (time_left() < shared_.tuning().min_attempt_time)
 	{
-		give_up(gateway_timeout, "no time left");
+		fail(gateway_timeout, "no time left");
 		return;
 	}
-	if (attempts_ > 0 && !shared_.budget(service_id_).take(now))
+	if (attempt_count_ > 0 && !shared_.budget(service_id_).take(now))
 	{
-		give_up(unavailable, "retry budget used up");
+		fail(unavailable, "retry budget used up");
 		return;
 	}
-	if (attempts_ == 0)
+	if (attempt_count_ == 0)
 	{
-		size_ = routing::size_policy::first(*route_, route_->attempts > 1 && route_->may_run_again());
+		model_step_ = routing::size_policy::first(*route_, route_->attempts > 1 && route_->is_retryable());
 	}
 	const auto replica = choose_replica();
 	if (!replica)
@@ -93,88 +94,90 @@
 	send_to(replica);
 }
 
-/// None where the request may be served if it is sent now. One that could only end at its time limit would
-/// keep its caller waiting for nothing, and its prompt would delay those that can still be served.
-std::optional<duration> exchange::time_until_servable(const routing::replica& at) const
+/// None if the request may be sent now. A request that can only time out would make its caller wait for
+/// nothing, and its prompt would delay requests that can still be served.
+std::optional<duration> exchange::time_until_servable(const routing::replica& engine) const
 {
-	if (!is_for_engines() || trace_ != trace::not_run)
+	if (!targets_engine() || execution_ != execution::not_run)
 	{
 		return std::nullopt;
 	}
-	// An idle engine is always tried: else an estimate that is far too high would never be corrected.
-	if (shared_.selector().work_at(at, steady_now()) <= 0)
+	// An idle engine is always tried: otherwise an estimate that is far too high would never be corrected.
+	if (shared_.selector().work_at(engine, steady_now()) <= 0)
 	{
 		return std::nullopt;
 	}
-	const auto expected = time_to_first_token(at);
-	if (expected < time_left() * shared_.tuning().refusal_margin)
+	const auto expected = time_to_first_token(engine);
+	if (expected < time_left() * shared_.tuning().refusal_factor)
 	{
 		return std::nullopt;
 	}
-	return std::max(expected - route_->objective, shared_.tuning().retry_after);
+	return std::max(expected - route_->latency_objective, shared_.tuning().retry_after);
 }
 
 routing::replica_ptr exchange::choose_replica() const
 {
 	const auto now = steady_now();
-	if (shared_.suspects().is_nearly_held(key_, now))
+	if (shared_.suspects().is_near_quarantine(request_key_, now))
 	{
-		// Both would be blamed for the end of a replica that they share: a request that only stood beside the
-		// cause twice would be held back with it.
-		const auto alone = choose_among(
-			[&](const routing::replica& one) { return !shared_.runs_other_suspect(one, key_, now); });
-		if (alone)
+		// Both requests would be blamed if the process exited: a request that merely ran beside the cause
+		// twice would be held as well.
+		const auto unshared = choose_replica_among([&](const routing::replica& candidate)
+			{ return !shared_.runs_another_suspect(candidate, request_key_, now); });
+		if (unshared)
 		{
-			return alone;
+			return unshared;
 		}
 	}
-	return choose_among([](const routing::replica&) { return true; });
+	return choose_replica_among([](const routing::replica&) { return true; });
 }
 
-routing::replica_ptr exchange::choose_among(const replica_filter& allowed) const
+routing::replica_ptr exchange::choose_replica_among(const replica_filter& allowed) const
 {
 	const auto now = steady_now();
 	auto& versions = shared_.versions();
-	std::string version = versions.version_for(service_id_, session_point_, now);
-	routing::selection what;
-	what.service = service_id_;
-	what.affinity = route_->keeps_prefixes ? prompt_.shared_parts : 0;
-	what.model_weight = model_weight();
-	what.shared_work = prompt_.shared_tokens * what.model_weight;
-	what.is_engine = is_for_engines();
-	what.usable = [&](const routing::replica& one)
-	{
-		const bool was_tried = std::find(tried_.begin(), tried_.end(), one.id) != tried_.end();
-		return !was_tried && (version.empty() || one.version == version) && versions.is_in_use(one, now) &&
-			   has_room(one) && shared_.may_send(one, now) && allowed(one);
+	std::string version = versions.version_for(service_id_, session_hash_, now);
+	routing::selection criteria;
+	criteria.service = service_id_;
+	criteria.affinity = route_->caches_prefixes ? prompt_.prefix_hash : 0;
+	criteria.model_weight = model_weight();
+	criteria.shared_work = prompt_.prefix_tokens * criteria.model_weight;
+	criteria.is_engine = targets_engine();
+	criteria.usable = [&](const routing::replica& candidate)
+	{
+		const bool was_tried =
+			std::find(tried_replicas_.begin(), tried_replicas_.end(), candidate.id) != tried_replicas_.end();
+		return !was_tried && (version.empty() || candidate.version == version) &&
+			   versions.is_in_use(candidate, now) && has_free_connection(candidate) &&
+			   shared_.may_send(candidate, now) && allowed(candidate);
 	};
-	auto chosen = shared_.selector().choose(what, now);
+	auto chosen = shared_.selector().choose(criteria, now);
 	if (!chosen)
 	{
-		version = versions.fallback_for(service_id_, session_point_, now);
-		chosen = version.empty() ? nullptr : shared_.selector().choose(what, now);
+		version = versions.fallback_for(service_id_, session_hash_, now);
+		chosen = version.empty() ? nullptr : shared_.selector().choose(criteria, now);
 	}
 	return chosen;
 }
 
-bool exchange::has_room(const routing::replica& one) const
+bool exchange::has_free_connection(const routing::replica& candidate) const
 {
 	const auto limit = service_ == nullptr ? 0 : service_->connections_per_replica;
-	if (limit == 0 || shared_.pool().idle(one.id) > 0)
+	if (limit == 0 || shared_.pool().idle_count(candidate.id) > 0)
 	{
 		return true;
 	}
-	// Replicas reset connections beyond their limit, which counts those of all VMs.
+	// Replicas reset connections beyond their limit, which counts the connections of all VMs.
 	const auto share = limit / shared_.vm_count();
-	return shared_.pool().open(one.id) < std::max(shared_.tuning().least_connections, share);
+	return shared_.pool().connection_count(candidate.id) < std::max(shared_.tuning().min_connections, share);
 }
 
-bool exchange::is_for_engines() const
+bool exchange::targets_engine() const
 {
 	return service_ != nullptr && service_->is_engine;
 }
 
-/// A smaller model does the same work in less of an engine's time.
+/// A smaller model does the same work in less engine time.
 double exchange::model_weight() const
 {
 	if (service_ == nullptr)
@@ -183,44 +186,45 @@
 	}
 	if (!route_->models.empty())
 	{
-		return service_->relative_cost(route_->models[size_.index]);
+		return service_->relative_cost(route_->models[model_step_.index]);
 	}
-	const auto* named = request_.find(shared_.names().model);
-	return named == nullptr ? 1 : service_->relative_cost(model_id{*named});
+	const auto* requested_model = request_.find(shared_.names().model);
+	return requested_model == nullptr ? 1 : service_->relative_cost(model_id{*requested_model});
 }
 
-double exchange::work_before_first_token(const routing::replica& at) const
+double exchange::work_before_first_token(const routing::replica& engine) const
 {
-	const auto own = prompt_.expected_reading() * model_weight();
-	return shared_.selector().work_at(at, steady_now()) + own;
+	const auto own = prompt_.expected_prefill_tokens() * model_weight();
+	return shared_.selector().work_at(engine, steady_now()) + own;
 }
 
-/// If the request were sent there now.
-duration exchange::time_to_first_token(const routing::replica& at) const
+/// Expected time to the first token if the request were sent to the replica now.
+duration exchange::time_to_first_token(const routing::replica& engine) const
 {
-	return shared_.first_tokens(service_id_).expected(work_before_first_token(at), steady_now());
+	return shared_.first_token_times(service_id_).expected(work_before_first_token(engine), steady_now());
 }
 
-header_fields exchange::fields_for(const routing::replica& to) const
+header_fields exchange::upstream_fields(const routing::replica& to) const
 {
 	const auto& names = shared_.names();
 	const bool chooses_model = !route_->models.empty();
 	header_fields fields;
-	for (auto& one : end_to_end(request_.fields))
+	for (auto& field : without_hop_by_hop_fields(request_.fields))
 	{
 		const bool is_reserved = std::any_of(names.reserved.begin(), names.reserved.end(),
-			[&](const std::string& name) { return same_name(name, one.name); });
-		const bool is_replaced = same_name(one.name, names.deadline_ms) ||
-								 (same_name(one.name, names.last_event_id) && events_.last_id());
-		if (is_reserved || is_replaced || (workspace_ != nullptr && same_name(one.name, "Authorization")))
+			[&](const std::string& name) { return equals_ignore_case(name, field.name); });
+		const bool is_replaced = equals_ignore_case(field.name, names.deadline_ms) ||
+								 (equals_ignore_case(field.name, names.last_event_id) && events_.last_id());
+		if (is_reserved || is_replaced ||
+			(workspace_ != nullptr && equals_ignore_case(field.name, "Authorization")))
 		{
 			continue;
 		}
-		if (chooses_model && same_name(one.name, names.model) && one.value == any_model)
+		if (chooses_model && equals_ignore_case(field.name, names.model) && field.value == any_model)
 		{
-			one.value = route_->models[size_.index].str();
+			field.value = route_->models[model_step_.index].str();
 		}
-		fields.push_back(std::move(one));
+		fields.push_back(std::move(field));
 	}
 	const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(time_left());
 	fields.push_back({names.deadline_ms, std::to_string(std::max<std::int64_t>(1, left.count()))});
@@ -231,9 +235,10 @@
 	}
 	if (route_->streams)
 	{
-		const auto own_rank = workspace_ == nullptr ? std::nullopt : workspace_->priority;
-		const auto rank = std::min(lowest_rank, own_rank.value_or(route_->priority));
-		fields.push_back({names.priority, std::to_string(rank)});
+		const auto workspace_priority = workspace_ == nullptr ? std::nullopt : workspace_->priority;
+		const auto effective_priority =
+			std::min(lowest_priority, workspace_priority.value_or(route_->priority));
+		fields.push_back({names.priority, std::to_string(effective_priority)});
 		if (events_.last_id())
 		{
 			fields.push_back({names.last_event_id, std::to_string(*events_.last_id())});
@@ -242,56 +247,57 @@
 	return fields;
 }
 
-bool exchange::may_try_again() const
+bool exchange::may_retry() const
 {
-	return attempts_ < route_->attempts && time_left() >= shared_.tuning().least_time &&
-		   (trace_ == trace::not_run || route_->may_run_again()) &&
-		   shared_.budget(service_id_).left(steady_now()) >= 1;
+	return attempt_count_ < route_->attempts && time_left() >= shared_.tuning().min_attempt_time &&
+		   (execution_ == execution::not_run || route_->is_retryable()) &&
+		   shared_.budget(service_id_).available(steady_now()) >= 1;
 }
 
 void exchange::send_to(const routing::replica_ptr& to)
 {
 	const auto now = steady_now();
-	++attempts_;
+	++attempt_count_;
 	last_replica_ = to;
-	last_was_suspected_ = shared_.replicas().is_suspected(to->id);
+	last_was_missing_ = shared_.replicas().is_suspected(to->id);
 	attempt_.emplace();
-	attempt_->to = to;
+	attempt_->target = to;
 	attempt_->sent_at = now;
-	attempt_->trace_before = trace_;
-	attempt_->size = size_;
-	attempt_->run = shared_.ends().runs().begin(*to, key_, now);
-	// From here on a replica may run it at any moment, whatever is heard of it.
-	trace_ = trace::may_have_run;
+	attempt_->execution_before = execution_;
+	attempt_->size = model_step_;
+	attempt_->run = shared_.exit_detector().runs().begin(*to, request_key_, now);
+	// From here on the replica may run the request, whether or not anything is received from it.
+	execution_ = execution::may_have_run;
 	attempt_->is_cold = shared_.cold_replicas().is_cold(*to, now);
-	attempt_->is_limited = shared_.announced().is_limited(*to);
-	shared_.note_sent(*to, now);
-	attempt_->link = shared_.pool().take(to, route_->may_run_again(), now);
-	attempt_->work_ahead = work_before_first_token(*to);
+	attempt_->is_limited = shared_.load_limits().is_limited(*to);
+	shared_.record_sent(*to, now);
+	attempt_->connection = shared_.pool().acquire(to, route_->is_retryable(), now);
+	attempt_->queued_work = work_before_first_token(*to);
 	const auto weight = model_weight();
-	attempt_->work = prompt_.tokens_in * weight + prompt_.generating_work() * weight;
-	shared_.selector().note_sent(*to, attempt_->work);
-	attempt_->connected = attempt_->link->was_used();
-	arm_attempt_timer(attempt_->connected ? first_byte_limit() : shared_.tuning().connect_limit);
+	attempt_->work = prompt_.input_tokens * weight + prompt_.decode_work() * weight;
+	shared_.selector().record_sent(*to, attempt_->work);
+	attempt_->connected = attempt_->connection->was_used();
+	arm_attempt_timer(attempt_->connected ? first_byte_limit() : shared_.tuning().connect_timeout);
 
 	const auto self = shared_from_this();
-	upstream_hooks hooks;
-	hooks.connected = [self] { self->on_connected(); };
-	hooks.began = [self](answer_head head) { self->on_head(std::move(head)); };
-	hooks.brought = [self](std::string_view bytes) { self->on_body(bytes); };
-	hooks.ended = [self] { self->on_end(); };
-	hooks.failed = [self](upstream_fault fault) { self->on_fault(fault); };
-	upstream_request what{write_request(request_, fields_for(*to)), id_, request_.method == "HEAD"};
-	if (route_->may_run_again())
-	{
-		what.unacknowledged_limit = shared_.tuning().unacknowledged_limit;
-	}
-	attempt_->link->send(std::move(what), hooks);
+	upstream_callbacks callbacks;
+	callbacks.connection_opened = [self] { self->on_connected(); };
+	callbacks.head_received = [self](response_head head) { self->on_head(std::move(head)); };
+	callbacks.body_received = [self](std::string_view bytes) { self->on_body(bytes); };
+	callbacks.response_completed = [self] { self->on_end(); };
+	callbacks.request_failed = [self](upstream_fault fault) { self->on_fault(fault); };
+	upstream_request outgoing{
+		serialize_request(request_, upstream_fields(*to)), id_, request_.method == "HEAD"};
+	if (route_->is_retryable())
+	{
+		outgoing.unacknowledged_timeout = shared_.tuning().unacknowledged_timeout;
+	}
+	attempt_->connection->send(std::move(outgoing), callbacks);
 }
 
-void exchange::try_again_or(const std::function<void()>& otherwise)
+void exchange::retry_or(const std::function<void()>& otherwise)
 {
-	if (!may_try_again())
+	if (!may_retry())
 	{
 		otherwise();
 		return;
@@ -300,51 +306,52 @@
 	dispatch();
 }
 
-/// What an engine has read delays nobody else. Counted until the answer's end, engines with long answers
-/// looked busier than those with prompts to read, and callers were sent to these.
-void exchange::note_prompt_read()
+/// A prompt that has been prefilled delays no other request. When it counted until the end of the response,
+/// engines with long responses looked busier than those with prompts to prefill, and requests were sent to
+/// the latter.
+void exchange::release_prefill_work()
 {
-	const auto read = prompt_.tokens_in * model_weight();
-	shared_.selector().note_part_done(*attempt_->to, read);
+	const auto read = prompt_.input_tokens * model_weight();
+	shared_.selector().record_progress(*attempt_->target, read);
 	attempt_->work -= read;
 }
 
-void exchange::end_attempt(bool answered_whole)
+void exchange::end_attempt(bool is_complete)
 {
 	if (!attempt_)
 	{
 		return;
 	}
 	attempt_timer_.cancel();
-	shared_.selector().note_over(*attempt_->to, attempt_->work);
-	note_run_end();
-	if (!answered_whole)
+	shared_.selector().record_completion(*attempt_->target, attempt_->work);
+	record_run_end();
+	if (!is_complete)
 	{
-		attempt_->link->close();
+		attempt_->connection->close();
 	}
-	shared_.pool().give_back(attempt_->link, steady_now());
+	shared_.pool().release(attempt_->connection, steady_now());
 	attempt_.reset();
 }
 
-void exchange::note_run_end()
+void exchange::record_run_end()
 {
 	const auto now = steady_now();
-	auto& runs = shared_.ends().runs();
-	if (attempt_->run_ends == quarantine::run_end::survived)
+	auto& runs = shared_.exit_detector().runs();
+	if (attempt_->run_outcome == quarantine::run_outcome::completed)
 	{
-		shared_.suspects().note_survived(key_, runs.life_of(*attempt_->to), now);
+		shared_.suspects().add_completion(request_key_, runs.instance_of(*attempt_->target), now);
 	}
-	runs.end(*attempt_->to, attempt_->run, attempt_->run_ends, now);
+	runs.end(*attempt_->target, attempt_->run, attempt_->run_outcome, now);
 }
 
-void exchange::note_result(routing::replica_result result)
+void exchange::record_result(routing::replica_result result)
 {
-	shared_.selector().note_result(*attempt_->to, result, attempt_->first_byte, steady_now());
+	shared_.selector().record_result(*attempt_->target, result, attempt_->first_byte, steady_now());
 }
 
 void exchange::cancel()
 {
-	if (over_)
+	if (finished_)
 	{
 		return;
 	}
@@ -353,13 +360,13 @@
 
 void exchange::on_deadline()
 {
-	if (answer_begun_)
+	if (response_started_)
 	{
-		to_->break_off();
+		sink_->abort_stream();
 		finish(request_outcome::broken_off, 0, "time limit");
 		return;
 	}
-	give_up(gateway_timeout, "time limit");
+	fail(gateway_timeout, "time limit");
 }
 
 void exchange::refuse(int status, std::string reason)
@@ -369,67 +376,69 @@
 		refuse_until(shared_.tuning().retry_after, std::move(reason));
 		return;
 	}
-	answer_here(status, std::move(reason), {});
+	send_local_reply(status, std::move(reason), {});
 }
 
-/// 502: a 503 would ask the caller to come back and end the next replica, and a 4xx would say that the
-/// request is wrong, which is likely and not known.
-void exchange::refuse_held()
+/// Responds with 502: a 503 would ask the caller to retry and crash another replica, and a 4xx would state
+/// that the request is at fault, which is likely but not known.
+void exchange::refuse_quarantined()
 {
 	const std::string reason = "replicas end under this request";
-	if (answer_begun_)
+	if (response_started_)
 	{
-		give_up(bad_gateway, reason);
+		fail(bad_gateway, reason);
 		return;
 	}
-	answer_here(bad_gateway, reason, {});
+	send_local_reply(bad_gateway, reason, {});
 }
 
-/// Those who are told to wait for the same replicas come back one after the other.
+/// `Retry-After` is spread by a hash of the request id, so that callers that wait for the same replicas do
+/// not return all at once.
 void exchange::refuse_without_replica()
 {
 	const auto now = steady_now();
 	auto [reason, wait] = shared_.why_unavailable(service_id_, now);
-	if (trace_ != trace::not_run || answer_begun_)
+	if (execution_ != execution::not_run || response_started_)
 	{
-		give_up(unavailable, std::move(reason));
+		fail(unavailable, std::move(reason));
 		return;
 	}
-	const auto spread = 1 + shared_.tuning().retry_spread * unit_of(stable_hash(id_));
+	const auto spread = 1 + shared_.tuning().retry_after_jitter * to_unit_interval(stable_hash(id_));
 	refuse_until(scaled(wait, spread), std::move(reason));
 }
 
 void exchange::refuse_until(duration wait, std::string reason)
 {
-	answer_here(unavailable, std::move(reason), {{"Retry-After", seconds_text(wait)}});
+	send_local_reply(unavailable, std::move(reason), {{"Retry-After", seconds_text(wait)}});
 }
 
-void exchange::give_up(int status, std::string reason)
+void exchange::fail(int status, std::string reason)
 {
-	if (answer_begun_)
+	if (response_started_)
 	{
-		to_->break_off();
+		sink_->abort_stream();
 		finish(request_outcome::broken_off, 0, std::move(reason));
 		return;
 	}
-	// A refusal promises that nothing ran; where something may have, the caller must not be told so.
-	if (trace_ == trace::not_run)
+	// A refusal states that no replica ran the request; the caller must not be told so if one may have.
+	if (execution_ == execution::not_run)
 	{
 		refuse(unavailable, std::move(reason));
 		return;
 	}
-	answer_here(status == gateway_timeout ? gateway_timeout : bad_gateway, std::move(reason), {});
+	send_local_reply(status == gateway_timeout ? gateway_timeout : bad_gateway, std::move(reason), {});
 }
 
-void exchange::answer_here(int status, std::string reason, header_fields fields)
+void exchange::send_local_reply(int status, std::string reason, header_fields fields)
 {
 	if (!id_.empty())
 	{
 		fields.push_back({shared_.names().request_id, id_});
 	}
 	fields.push_back({"Content-Type", "text/plain"});
-	const auto outcome = trace_ == trace::not_run ? request_outcome::refused : request_outcome::failed;
-	const auto sink = to_;
+	const auto outcome =
+		execution_ == execution::not_run ? request_outcome::refused : request_outcome::failed;
+	const auto sink = sink_;
 	auto body = reason + "\n";
 	finish(outcome, status, std::move(reason));
 	sink->send({status, {}, std::move(fields), std::move(body)});
@@ -437,29 +446,29 @@
 
 void exchange::finish(request_outcome outcome, int status, std::string reason)
 {
-	over_ = true;
+	finished_ = true;
 	end_attempt(false);
 	deadline_timer_.cancel();
 	const auto now = steady_now();
-	request_line line;
-	line.id = id_;
-	line.content = key_.str();
-	line.route = route_ == nullptr ? "" : route_->id.str();
-	line.workspace = workspace_ == nullptr ? "" : workspace_->id.str();
-	line.replica = last_replica_ ? last_replica_->id.str() : "";
-	line.version = last_replica_ ? last_replica_->version : "";
-	line.model = route_ == nullptr || route_->models.empty() ? "" : route_->models[size_.index].str();
-	line.outcome = outcome;
-	line.status = status;
-	line.reason = std::move(reason);
-	line.attempts = attempts_;
-	line.took = now - arrived_;
-	line.first_byte = first_byte_;
-	line.choice = size_choice_;
-	line.config = catalog_ ? catalog_->version().value() : 0;
-	line.config_age = shared_.confirmed_age(now).value_or(duration{0});
-	line.replicas_age = shared_.replicas_age(now).value_or(duration{0});
-	line.replica_is_suspected = last_was_suspected_;
-	shared_.log().note(line, now);
+	request_record record;
+	record.id = id_;
+	record.content_key = request_key_.str();
+	record.route = route_ == nullptr ? "" : route_->id.str();
+	record.workspace = workspace_ == nullptr ? "" : workspace_->id.str();
+	record.replica = last_replica_ ? last_replica_->id.str() : "";
+	record.version = last_replica_ ? last_replica_->version : "";
+	record.model = route_ == nullptr || route_->models.empty() ? "" : route_->models[model_step_.index].str();
+	record.outcome = outcome;
+	record.status = status;
+	record.reason = std::move(reason);
+	record.attempts = attempt_count_;
+	record.elapsed = now - arrived_;
+	record.first_byte = first_byte_time_;
+	record.escalation = escalation_choice_;
+	record.config_version = catalog_ ? catalog_->version().value() : 0;
+	record.config_age = shared_.catalog_age(now).value_or(duration{0});
+	record.replicas_age = shared_.replicas_age(now).value_or(duration{0});
+	record.replica_is_suspected = last_was_missing_;
+	shared_.log().record_request(record, now);
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What all requests of a VM share.
+// State shared by all requests of a VM.
 #include <gingerdyke/log/log.hpp>
 #include <gingerdyke/metrics/text_format.hpp>
 #include <gingerdyke/proxy/exchange.hpp>
@@ -14,52 +14,54 @@
 	log::write(log::level::info, "replica ejected",
 		{{"replica", id.str()}, {"failure_rate", rate}, {"for_ms", to_milliseconds(span)}});
 }
-void log_replica(const routing::replica& one, routing::replica_change change)
+void log_replica_change(const routing::replica& instance, routing::replica_change change)
 {
 	log::write(log::level::info, "replica",
-		{{"replica", one.id.str()}, {"service", one.service.str()}, {"address", one.at.str()},
-			{"version", one.version}, {"change", routing::name_of(change)}});
+		{{"replica", instance.id.str()}, {"service", instance.service.str()}, {"address", instance.at.str()},
+			{"version", instance.version}, {"change", routing::name_of(change)}});
 }
 
-void log_cold(const routing::replica& one, routing::cold_reason reason, duration left)
+void log_cold_replica(const routing::replica& instance, routing::cold_reason reason, duration left)
 {
 	log::write(log::level::info, "replica is cold",
-		{{"replica", one.id.str()}, {"service", one.service.str()}, {"failure_domain", one.domain.str()},
-			{"why", routing::name_of(reason)}, {"for_ms", to_milliseconds(left)}});
+		{{"replica", instance.id.str()}, {"service", instance.service.str()},
+			{"failure_domain", instance.domain.str()}, {"why", routing::name_of(reason)},
+			{"for_ms", to_milliseconds(left)}});
 }
 
-void log_limit(
-	const routing::replica& one, routing::limit_change change, const routing::limit_statement& said)
+void log_load_limit(const routing::replica& instance, routing::limit_change change,
+	const routing::limit_announcement& statement)
 {
-	log::write(log::level::info, "replica limits its load",
-		{{"replica", one.id.str()}, {"service", one.service.str()}, {"change", routing::name_of(change)},
-			{"requests_per_s", said.requests_per_s.value_or(0)}, {"request", said.request}});
+	log::write(log::level::info, "replica load limit",
+		{{"replica", instance.id.str()}, {"service", instance.service.str()},
+			{"change", routing::name_of(change)}, {"requests_per_s", statement.requests_per_s.value_or(0)},
+			{"request", statement.request}});
 }
 
-void log_rest(const routing::replica& one, const std::string& request, duration left)
+void log_backoff(const routing::replica& instance, const std::string& request, duration left)
 {
-	log::write(log::level::info, "replica wants rest",
-		{{"replica", one.id.str()}, {"service", one.service.str()}, {"for_ms", to_milliseconds(left)},
-			{"request", request}});
+	log::write(log::level::info, "replica requested backoff",
+		{{"replica", instance.id.str()}, {"service", instance.service.str()},
+			{"for_ms", to_milliseconds(left)}, {"request", request}});
 }
 
 std::map<service_id, routing::cold_limit> cold_limits_of(const routing::catalog& catalog)
 {
 	std::map<service_id, routing::cold_limit> limits;
-	for (const auto& one : catalog.services())
+	for (const auto& service_settings : catalog.services())
 	{
-		if (one.cold)
+		if (service_settings.cold)
 		{
-			limits[one.id] = *one.cold;
+			limits[service_settings.id] = *service_settings.cold;
 		}
 	}
 	return limits;
 }
 
-void log_unknown(statement_source source, const std::string& name, const std::string& who)
+void log_unknown_name(statement_source source, const std::string& name, const std::string& who)
 {
 	log::write(
-		log::level::warn, "statement not known", {{"where", name_of(source)}, {"name", name}, {"from", who}});
+		log::level::warn, "unknown statement", {{"where", name_of(source)}, {"name", name}, {"from", who}});
 }
 
 rollout::shift_tuning shift_tuning_for(const fleet_bounds& bounds)
@@ -69,58 +71,58 @@
 	return tuning;
 }
 
-/// Keys that one line names, at most.
-constexpr std::size_t most_keys_in_line = 8;
+/// Maximum number of request keys in one log line.
+constexpr std::size_t max_logged_keys = 8;
 
-void log_replica_end(const replica_end& end, bool was_expected)
+void log_replica_exit(const replica_exit& exited, bool was_expected)
 {
 	json keys = json::array();
-	for (const auto& key : end.requests)
+	for (const auto& key : exited.requests)
 	{
-		if (keys.size() < most_keys_in_line)
+		if (keys.size() < max_logged_keys)
 		{
 			keys.push_back(key.str());
 		}
 	}
-	log::write(log::level::warn, "replica ended",
-		{{"replica", end.replica->id.str()}, {"service", end.replica->service.str()},
-			{"version", end.replica->version}, {"expected", was_expected}, {"requests", end.requests.size()},
-			{"contents", std::move(keys)}});
+	log::write(log::level::warn, "replica process exited",
+		{{"replica", exited.replica->id.str()}, {"service", exited.replica->service.str()},
+			{"version", exited.replica->version}, {"expected", was_expected},
+			{"requests", exited.requests.size()}, {"contents", std::move(keys)}});
 }
 
-void log_hold(const quarantine::suspicion& what, double weight)
+void log_held_request(const quarantine::suspicion& suspected, double weight)
 {
-	log::write(log::level::warn, "request held back",
-		{{"content", what.key.str()}, {"ended", what.ended.size()}, {"weight", weight},
-			{"survived", what.survived.size()}});
+	log::write(log::level::warn, "request held after replica exits",
+		{{"content", suspected.key.str()}, {"ended", suspected.ended.size()}, {"weight", weight},
+			{"survived", suspected.survived.size()}});
 }
 
-void log_shift(const rollout::shift_news& news)
+void log_version_shift(const rollout::shift_event& news)
 {
 	const auto& plan = news.plan;
 	json fields{{"service", plan.service.str()}, {"from", plan.from_version}, {"to", plan.to_version},
 		{"state", rollout::name_of(plan.state)}, {"row_version", plan.row.value()}};
-	fields["vms"] = news.known.vms;
-	fields["old_answers"] = news.known.old_version.answers;
-	fields["old_failed"] = news.known.old_version.failed;
-	fields["new_answers"] = news.known.new_version.answers;
-	fields["new_failed"] = news.known.new_version.failed;
-	const auto& verdict = news.known.verdict;
-	fields["ground"] = rollout::name_of(verdict.ground);
-	fields["where"] = verdict.where;
-	fields["answers"] = verdict.answers;
-	fields["bad"] = verdict.bad;
+	fields["vms"] = news.summary.vms;
+	fields["old_answers"] = news.summary.old_version.responses;
+	fields["old_failed"] = news.summary.old_version.failed;
+	fields["new_answers"] = news.summary.new_version.responses;
+	fields["new_failed"] = news.summary.new_version.failed;
+	const auto& verdict = news.summary.verdict;
+	fields["ground"] = rollout::name_of(verdict.reason);
+	fields["where"] = verdict.scope;
+	fields["answers"] = verdict.responses;
+	fields["bad"] = verdict.bad_responses;
 	fields["tolerated"] = verdict.tolerated;
 	fields["evidence"] = verdict.evidence;
-	const auto& proof = news.known.proof;
+	const auto& proof = news.summary.proof;
 	fields["promoted"] = plan.promoted.has_value();
-	fields["shown_good"] = proof.is_shown;
-	fields["bad_answers"] = proof.bad;
-	fields["judged_answers"] = proof.judged.answers;
+	fields["shown_good"] = proof.is_noninferior;
+	fields["bad_answers"] = proof.bad_responses;
+	fields["judged_answers"] = proof.judged.responses;
 	fields["judged_failed"] = proof.judged.failed;
 	fields["failure_limit"] = proof.tolerated;
 	fields["failure_risk"] = proof.failure_risk;
-	fields["doubtful_part"] = proof.has_doubtful_part;
+	fields["doubtful_part"] = proof.has_doubtful_subset;
 	fields["fast_evidence"] = proof.fast_evidence;
 	fields["slow_risk"] = proof.slow_risk;
 	if (!news.suspended)
@@ -128,7 +130,7 @@
 		log::write(log::level::info, "version shift", std::move(fields));
 		return;
 	}
-	fields["told"] = news.told;
+	fields["told"] = news.follows_peer_verdict;
 	log::write(log::level::warn, "version suspended", std::move(fields));
 }
 } // namespace
@@ -136,18 +138,19 @@
 gateway::gateway(asio::io_context& context, header_names names, fleet_bounds bounds,
 	failure_domain_id own_domain, random_source random, request_log& log, gateway_tuning tuning)
 	: context_(context), names_(std::move(names)), bounds_(bounds), log_(log), tuning_(tuning),
-	  replicas_([this](const routing::replica& one, routing::replica_change change)
-		  { on_replica_change(one, change); }),
-	  evacuated_([this](const failure_domain_id& domain, bool is_evacuated)
+	  replicas_([this](const routing::replica& instance, routing::replica_change change)
+		  { on_replica_change(instance, change); }),
+	  evacuated_domains_([this](const failure_domain_id& domain, bool is_evacuated)
 		  { on_evacuation(domain, is_evacuated); }),
-	  cold_replicas_(vms_, log_cold), announced_(vms_, log_limit), resting_(log_rest),
+	  cold_replicas_(vms_, log_cold_replica), load_limits_(vms_, log_load_limit), backoffs_(log_backoff),
 	  selector_(replicas_, std::move(own_domain), random, log_ejection), pool_(context, names_.request_id),
-	  suspects_(log_hold), ends_(context, end_hooks()), unknown_(log_unknown),
-	  versions_(std::move(random), log_shift, shift_tuning_for(bounds_))
+	  suspects_(log_held_request), exit_detector_(context, exit_detector_hooks()),
+	  unknown_names_(log_unknown_name),
+	  versions_(std::move(random), log_version_shift, shift_tuning_for(bounds_))
 {
 }
 
-bool gateway::take(routing::catalog_ptr next)
+bool gateway::apply_catalog(routing::catalog_ptr next)
 {
 	if (catalog_ && next->version() <= catalog_->version())
 	{
@@ -155,18 +158,19 @@
 	}
 	catalog_ = std::move(next);
 	cold_replicas_.set_limits(cold_limits_of(*catalog_));
-	tell_ready();
+	run_ready_hooks();
 	return true;
 }
 
-void gateway::take_replicas(std::vector<routing::replica> entries, instant now)
+void gateway::set_replicas(std::vector<routing::replica> entries, instant now)
 {
 	replicas_.replace_all(std::move(entries), now);
-	tell_ready();
+	run_ready_hooks();
 }
 
-/// Posted: who brought the last news may still have to say how fresh it is.
-void gateway::tell_ready()
+/// Posted, because the caller of this function may still have to set the time at which the data was
+/// confirmed.
+void gateway::run_ready_hooks()
 {
 	if (!ready())
 	{
@@ -178,22 +182,22 @@
 	}
 }
 
-void gateway::confirm(instant sent_at)
+void gateway::confirm_catalog(instant sent_at)
 {
-	if (!confirmed_at_ || *confirmed_at_ < sent_at)
+	if (!catalog_confirmed_at_ || *catalog_confirmed_at_ < sent_at)
 	{
-		confirmed_at_ = sent_at;
+		catalog_confirmed_at_ = sent_at;
 	}
 }
 
-std::optional<duration> gateway::confirmed_age(instant now) const
+std::optional<duration> gateway::catalog_age(instant now) const
 {
-	return confirmed_at_ ? std::optional{now - *confirmed_at_} : std::nullopt;
+	return catalog_confirmed_at_ ? std::optional{now - *catalog_confirmed_at_} : std::nullopt;
 }
 
 bool gateway::knows_all_routes(instant now) const
 {
-	const auto age = confirmed_age(now);
+	const auto age = catalog_age(now);
 	return !bounds_.change_limit || (age && *age < *bounds_.change_limit);
 }
 
@@ -213,14 +217,15 @@
 	{
 		return key_trust::trusted;
 	}
-	const auto age = confirmed_age(now);
+	const auto age = catalog_age(now);
 	return age && *age < *bounds_.revocation_time ? key_trust::trusted : key_trust::stale;
 }
 
-bool gateway::takes_requests(bool is_stream, instant now) const
+bool gateway::accepts_requests(bool is_stream, instant now) const
 {
-	const auto last = is_stream ? tuning_.streams_while_stopping : tuning_.requests_while_stopping;
-	return !stop_began_ || now - *stop_began_ < last;
+	const auto last =
+		is_stream ? tuning_.stream_acceptance_while_stopping : tuning_.request_acceptance_while_stopping;
+	return !stop_started_at_ || now - *stop_started_at_ < last;
 }
 
 unavailability gateway::why_unavailable(const service_id& service, instant now) const
@@ -234,42 +239,42 @@
 		}
 	};
 	consider("replicas are cold", cold_replicas_.time_until_warm(service, now));
-	consider("replicas limit their load", announced_.time_until_share(service, now));
-	consider("replicas want rest", resting_.time_until_back(service, now));
+	consider("replicas limit their load", load_limits_.time_until_allowed(service, now));
+	consider("replicas want rest", backoffs_.time_until_resumed(service, now));
 	if (first)
 	{
 		first->retry_after = std::max(first->retry_after, tuning_.retry_after);
 		return *first;
 	}
-	const auto& all = replicas_.of(service);
-	const bool is_evacuated = std::any_of(
-		all.begin(), all.end(), [this](const auto& one) { return evacuated_.contains(one->domain); });
-	const bool all_leave =
-		!all.empty() && std::all_of(all.begin(), all.end(), [](const auto& one) { return one->leaving; });
-	const auto* reason = is_evacuated ? "failure domains are evacuated"
-						 : all_leave  ? "all replicas leave"
-									  : "no replica";
+	const auto& all = replicas_.of_service(service);
+	const bool is_evacuated = std::any_of(all.begin(), all.end(),
+		[this](const auto& instance) { return evacuated_domains_.contains(instance->domain); });
+	const bool all_draining = !all.empty() && std::all_of(all.begin(), all.end(),
+												  [](const auto& instance) { return instance->leaving; });
+	const auto* reason = is_evacuated   ? "failure domains are evacuated"
+						 : all_draining ? "all replicas leave"
+										: "no replica";
 	return {reason, tuning_.retry_after};
 }
 
 bool gateway::may_send(const routing::replica& to, instant now) const
 {
-	return !evacuated_.contains(to.domain) && cold_replicas_.takes(to, now) && announced_.takes(to, now) &&
-		   resting_.takes(to, now);
+	return !evacuated_domains_.contains(to.domain) && cold_replicas_.allows_request(to, now) &&
+		   load_limits_.allows_request(to, now) && backoffs_.allows_request(to, now);
 }
 
-void gateway::note_sent(const routing::replica& to, instant now)
+void gateway::record_sent(const routing::replica& to, instant now)
 {
-	cold_replicas_.note_sent(to, now);
-	announced_.note_sent(to, now);
-	resting_.note_sent(to, now);
+	cold_replicas_.record_sent(to, now);
+	load_limits_.record_sent(to, now);
+	backoffs_.record_sent(to, now);
 }
 
-std::shared_ptr<active_request> gateway::handle(request what, std::shared_ptr<answer_sink> to)
+std::shared_ptr<active_request> gateway::handle(request incoming, std::shared_ptr<response_sink> output)
 {
-	const auto made = std::make_shared<exchange>(*this, std::move(what), std::move(to));
-	made->start();
-	return made;
+	const auto created = std::make_shared<exchange>(*this, std::move(incoming), std::move(output));
+	created->start();
+	return created;
 }
 
 limits::attempt_budget& gateway::budget(const service_id& service)
@@ -280,200 +285,202 @@
 void gateway::write_metrics(std::ostream& out, instant now)
 {
 	constexpr double microseconds_per_second = 1e6;
-	metrics::write_head(
+	metrics::write_header(
 		out, "gingerdyke_configuration_version", "gauge", "Configuration in force; 0: none yet.");
 	out << "gingerdyke_configuration_version " << (catalog_ ? catalog_->version().value() : 0) << "\n";
-	if (const auto age = confirmed_age(now))
+	if (const auto age = catalog_age(now))
 	{
-		metrics::write_head(out, "gingerdyke_configuration_age_seconds", "gauge",
+		metrics::write_header(out, "gingerdyke_configuration_age_seconds", "gauge",
 			"Time since the configuration was last known to be the newest.");
 		out << "gingerdyke_configuration_age_seconds "
 			<< static_cast<double>(age->count()) / microseconds_per_second << "\n";
 	}
 	if (const auto age = replicas_age(now))
 	{
-		metrics::write_head(out, "gingerdyke_replicas_age_seconds", "gauge",
+		metrics::write_header(out, "gingerdyke_replicas_age_seconds", "gauge",
 			"Time since the table of replicas was last known to be the newest.");
 		out << "gingerdyke_replicas_age_seconds "
 			<< static_cast<double>(age->count()) / microseconds_per_second << "\n";
 	}
-	metrics::write_head(out, "gingerdyke_replicas_suspected", "gauge",
+	metrics::write_header(out, "gingerdyke_replicas_suspected", "gauge",
 		"Replicas whose entries are missing and that are not taken as gone yet.");
 	out << "gingerdyke_replicas_suspected " << replicas_.suspected_count() << "\n";
-	metrics::write_head(out, "gingerdyke_replicas_cold", "gauge", "Replicas that count as cold.");
+	metrics::write_header(out, "gingerdyke_replicas_cold", "gauge", "Replicas that count as cold.");
 	out << "gingerdyke_replicas_cold " << cold_replicas_.cold_count(now) << "\n";
-	metrics::write_head(out, "gingerdyke_replicas_limited", "gauge",
+	metrics::write_header(out, "gingerdyke_replicas_limited", "gauge",
 		"Replicas that name a limit of their load in their answers.");
-	out << "gingerdyke_replicas_limited " << announced_.size() << "\n";
-	metrics::write_head(
+	out << "gingerdyke_replicas_limited " << load_limits_.size() << "\n";
+	metrics::write_header(
 		out, "gingerdyke_replicas_resting", "gauge", "Replicas that want nothing from this VM for a time.");
-	out << "gingerdyke_replicas_resting " << resting_.count(now) << "\n";
-	metrics::write_head(out, "gingerdyke_failure_domains_evacuated", "gauge",
+	out << "gingerdyke_replicas_resting " << backoffs_.count(now) << "\n";
+	metrics::write_header(out, "gingerdyke_failure_domains_evacuated", "gauge",
 		"Failure domains whose replicas get nothing by an operator's order.");
-	out << "gingerdyke_failure_domains_evacuated " << evacuated_.size() << "\n";
-	metrics::write_head(out, "gingerdyke_replicas", "gauge", "Replicas known.");
+	out << "gingerdyke_failure_domains_evacuated " << evacuated_domains_.size() << "\n";
+	metrics::write_header(out, "gingerdyke_replicas", "gauge", "Replicas known.");
 	out << "gingerdyke_replicas " << replicas_.size() << "\n";
-	metrics::write_head(out, "gingerdyke_replica_ends_total", "counter",
+	metrics::write_header(out, "gingerdyke_replica_ends_total", "counter",
 		"Replicas whose process ended while this VM had requests there, or before one was sent.");
-	out << "gingerdyke_replica_ends_total " << replica_ends_ << "\n";
-	metrics::write_head(out, "gingerdyke_replica_statements_unreadable_total", "counter",
+	out << "gingerdyke_replica_ends_total " << replica_exits_ << "\n";
+	metrics::write_header(out, "gingerdyke_replica_statements_unreadable_total", "counter",
 		"Answers in which a replica says something of itself that can't be read.");
 	out << "gingerdyke_replica_statements_unreadable_total " << unreadable_statements_ << "\n";
-	metrics::write_head(out, "gingerdyke_statements_unknown_total", "counter",
+	metrics::write_header(out, "gingerdyke_statements_unknown_total", "counter",
 		"Statements of replicas, their entries and operators that are not known.");
-	out << "gingerdyke_statements_unknown_total " << unknown_.count() << "\n";
-	metrics::write_head(
+	out << "gingerdyke_statements_unknown_total " << unknown_names_.count() << "\n";
+	metrics::write_header(
 		out, "gingerdyke_requests_suspected", "gauge", "Requests under which replicas ended.");
 	out << "gingerdyke_requests_suspected " << suspects_.size() << "\n";
-	metrics::write_head(
+	metrics::write_header(
 		out, "gingerdyke_requests_held", "gauge", "Of these, requests that are sent to no replica any more.");
-	out << "gingerdyke_requests_held " << suspects_.held_count(now) << "\n";
-	metrics::write_head(out, "gingerdyke_further_attempts_left", "gauge",
+	out << "gingerdyke_requests_held " << suspects_.quarantined_count(now) << "\n";
+	metrics::write_header(out, "gingerdyke_further_attempts_left", "gauge",
 		"Attempts beyond the first that a service's budget allows now.");
 	for (auto& [service, budget] : budgets_)
 	{
 		out << "gingerdyke_further_attempts_left{" << metrics::write_label("service", service.str()) << "} "
-			<< budget.left(now) << "\n";
+			<< budget.available(now) << "\n";
 	}
 }
 
-void gateway::note_answer(const routing::replica& from, const rollout::answer_sample& answer)
+void gateway::record_response(const routing::replica& from, const rollout::response_sample& answer)
 {
-	versions_.note_answer(from.service, from.version, answer, steady_now());
+	versions_.record_response(from.service, from.version, answer, steady_now());
 	if (evidence_hook_ && versions_.has_evidence(from.service))
 	{
 		evidence_hook_();
 	}
 }
 
-void gateway::note_leaving(const routing::replica& from, const std::string& request)
+void gateway::record_draining(const routing::replica& from, const std::string& request)
 {
-	if (replicas_.note_leaving(from, steady_now()))
+	if (replicas_.mark_leaving(from, steady_now()))
 	{
-		log::write(log::level::info, "replica says that it leaves",
+		log::write(log::level::info, "replica announced draining",
 			{{"replica", from.id.str()}, {"service", from.service.str()}, {"request", request}});
 	}
 }
 
-void gateway::note_unreadable(const routing::replica& from, const std::string& value)
+void gateway::record_unreadable_statement(const routing::replica& from, const std::string& value)
 {
 	constexpr std::size_t longest = 60;
 	++unreadable_statements_;
-	if (unreadable_replicas_.insert(from.id).second)
+	if (logged_unreadable_replicas_.insert(from.id).second)
 	{
-		log::write(log::level::warn, "replica's statement not understood",
+		log::write(log::level::warn, "malformed replica statement",
 			{{"replica", from.id.str()}, {"service", from.service.str()},
 				{"value", value.substr(0, longest)}});
 	}
 }
 
-replica_end_watch::hooks gateway::end_hooks()
+replica_exit_detector::hooks gateway::exit_detector_hooks()
 {
-	replica_end_watch::hooks hooks;
-	hooks.presumed = [this](const replica_end& end)
-	{ suspects_.presume(end.life, end.requests, steady_now()); };
-	hooks.settled = [this](const replica_end& end, bool has_ended, const auto& together)
-	{ on_replica_end(end, has_ended, together); };
+	replica_exit_detector::hooks hooks;
+	hooks.presumed = [this](const replica_exit& exited)
+	{ suspects_.presume(exited.life, exited.requests, steady_now()); };
+	hooks.resolved = [this](const replica_exit& exited, bool has_exited, const auto& correlated)
+	{ on_replica_exit(exited, has_exited, correlated); };
 	return hooks;
 }
 
-void gateway::on_replica_end(
-	const replica_end& end, bool has_ended, const std::vector<quarantine::process_life>& together)
+void gateway::on_replica_exit(
+	const replica_exit& exited, bool has_exited, const std::vector<quarantine::process_instance>& correlated)
 {
-	if (!has_ended)
+	if (!has_exited)
 	{
-		suspects_.retract(end.life);
+		suspects_.retract(exited.life);
 		return;
 	}
 	const auto now = steady_now();
-	++replica_ends_;
-	// One that said that it leaves, or whose entry went, ends whatever runs there. The entry of the next
-	// process under its id tells of no leave.
-	const auto entry = replicas_.find(end.replica->id);
-	const bool was_expected = !entry || !replicas_.takes_work(*entry);
-	log_replica_end(end, was_expected);
-	was_expected ? suspects_.retract(end.life) : suspects_.confirm(end.life, together, now);
-	cold_replicas_.note_unknown(*end.replica, routing::cold_reason::unreachable, now);
-	// Nobody else has to find out by a connection that is refused.
-	selector_.note_result(*end.replica, routing::replica_result::not_connected, duration{0}, now);
-	if (suspicion_hook_ && !end.requests.empty())
+	++replica_exits_;
+	// A replica that is draining, or whose entry was removed, exits whatever runs on it. A new entry under
+	// its id, for the next process, does not show that the previous one was draining.
+	const auto entry = replicas_.find(exited.replica->id);
+	const bool was_expected = !entry || !replicas_.accepts_requests(*entry);
+	log_replica_exit(exited, was_expected);
+	was_expected ? suspects_.retract(exited.life) : suspects_.confirm(exited.life, correlated, now);
+	cold_replicas_.assume_cold(*exited.replica, routing::cold_reason::unreachable, now);
+	// Prevents other requests from being sent to a process that would refuse their connections.
+	selector_.record_result(*exited.replica, routing::replica_result::not_connected, duration{0}, now);
+	if (suspicion_hook_ && !exited.requests.empty())
 	{
 		suspicion_hook_();
 	}
 }
 
-bool gateway::runs_other_suspect(
-	const routing::replica& at, const quarantine::request_key& than, instant now) const
+bool gateway::runs_another_suspect(
+	const routing::replica& target, const quarantine::request_key& excluded_key, instant now) const
 {
-	const auto running = ends_.runs().running_at(at, now);
+	const auto running = exit_detector_.runs().running_at(target, now);
 	return std::any_of(running.begin(), running.end(),
-		[&](const auto& key) { return key != than && suspects_.is_nearly_held(key, now); });
+		[&](const auto& key) { return key != excluded_key && suspects_.is_near_quarantine(key, now); });
 }
 
-/// What was kept for replicas while they got nothing may be lost, whatever their entries said meanwhile.
+/// After an evacuation, the replicas of the failure domain may have lost their warm state, whatever their
+/// entries said meanwhile.
 void gateway::on_evacuation(const failure_domain_id& domain, bool is_evacuated)
 {
 	log::write(log::level::info, "evacuation",
-		{{"failure_domain", domain.str()}, {"in_force", is_evacuated}, {"evacuated", evacuated_.size()}});
+		{{"failure_domain", domain.str()}, {"in_force", is_evacuated},
+			{"evacuated", evacuated_domains_.size()}});
 	if (is_evacuated)
 	{
 		return;
 	}
 	const auto now = steady_now();
-	for (const auto& one : replicas_.all())
+	for (const auto& instance : replicas_.all())
 	{
-		if (one->domain == domain)
+		if (instance->domain == domain)
 		{
-			cold_replicas_.note_unknown(*one, routing::cold_reason::evacuated, now);
+			cold_replicas_.assume_cold(*instance, routing::cold_reason::evacuated, now);
 		}
 	}
 }
 
-void gateway::note_cold(const routing::replica& one, routing::replica_change change, instant now)
+void gateway::note_cold(const routing::replica& instance, routing::replica_change change, instant now)
 {
 	const bool has_started =
 		change == routing::replica_change::restarted || change == routing::replica_change::added;
-	cold_replicas_.note_told(one, now);
-	// Of replicas that were there before this VM nothing is known to have started.
-	if (has_started && !one.cold_left && replicas_.known())
+	cold_replicas_.apply_entry(instance, now);
+	// Replicas that existed before this VM are not known to have started recently.
+	if (has_started && !instance.remaining_warmup && replicas_.is_loaded())
 	{
-		cold_replicas_.note_unknown(one, routing::cold_reason::started, now);
+		cold_replicas_.assume_cold(instance, routing::cold_reason::started, now);
 	}
 }
 
-void gateway::on_replica_change(const routing::replica& one, routing::replica_change change)
+void gateway::on_replica_change(const routing::replica& instance, routing::replica_change change)
 {
-	if (change == routing::replica_change::cold_time)
+	if (change == routing::replica_change::remaining_warmup_changed)
 	{
-		cold_replicas_.note_told(one, steady_now());
+		cold_replicas_.apply_entry(instance, steady_now());
 		return;
 	}
-	// The first reading of the registry is told as a whole.
-	if (replicas_.known())
+	// The first read of the registry is not logged replica by replica.
+	if (replicas_.is_loaded())
 	{
-		log_replica(one, change);
+		log_replica_change(instance, change);
 	}
 	if (change == routing::replica_change::gone)
 	{
-		cold_replicas_.forget(one.id);
+		cold_replicas_.forget(instance.id);
 	}
 	else
 	{
-		note_cold(one, change, steady_now());
+		note_cold(instance, change, steady_now());
 	}
 	if (change == routing::replica_change::gone || change == routing::replica_change::restarted)
 	{
-		announced_.forget(one.id);
-		resting_.forget(one.id);
-		unreadable_replicas_.erase(one.id);
-		pool_.drop(one.id);
-		selector_.forget(one.id);
-		ends_.runs().release(one.id, steady_now());
+		load_limits_.forget(instance.id);
+		backoffs_.forget(instance.id);
+		logged_unreadable_replicas_.erase(instance.id);
+		pool_.close_idle_connections(instance.id);
+		selector_.forget(instance.id);
+		exit_detector_.runs().remove_entry(instance.id, steady_now());
 	}
 	if (change == routing::replica_change::leaving)
 	{
-		pool_.drop(one.id);
+		pool_.close_idle_connections(instance.id);
 	}
-	versions_.note_replicas(one.service, replicas_.of(one.service));
+	versions_.set_replicas(instance.service, replicas_.of_service(instance.service));
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/replica_statements.cpp
+++ b/src/proxy/replica_statements.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What a replica says of itself in the head of an answer.
+// Statements of a replica about itself in the headers of a response.
 #include <algorithm>
 #include <charconv>
 #include <cmath>
@@ -15,8 +15,8 @@
 {
 constexpr int unavailable = 503;
 
-/// A decimal number from 0 on; none: it is something else.
-std::optional<double> read_amount(const std::string& text)
+/// Parses a non-negative finite decimal number; none if the text is anything else.
+std::optional<double> parse_non_negative(const std::string& text)
 {
 	double value = 0;
 	const auto* end = text.data() + text.size();
@@ -25,10 +25,11 @@
 	return is_whole && std::isfinite(value) && value >= 0 ? std::optional{value} : std::nullopt;
 }
 
-/// A time to come back: seconds with decimals, or a date. Dates that have passed are no time at all.
-std::optional<duration> read_wait(const std::string& text, std::chrono::system_clock::time_point time_of_day)
+/// Parses `Retry-After`: seconds, with decimals, or a date. A date in the past gives 0.
+std::optional<duration> parse_retry_after(
+	const std::string& text, std::chrono::system_clock::time_point time_of_day)
 {
-	if (const auto seconds = read_amount(text))
+	if (const auto seconds = parse_non_negative(text))
 	{
 		constexpr double longest_s = 1e9;
 		const std::chrono::duration<double> span{std::min(*seconds, longest_s)};
@@ -48,61 +49,62 @@
 
 bool is_unknown(const std::string& name, const header_names& names)
 {
-	const auto begins_name = [&](const std::string& prefix) {
+	const auto begins_name = [&](const std::string& prefix)
+	{
 		return name.size() > prefix.size() &&
-			   same_name(std::string_view{name}.substr(0, prefix.size()), prefix);
+			   equals_ignore_case(std::string_view{name}.substr(0, prefix.size()), prefix);
 	};
-	const auto is_same = [&](const std::string& known) { return same_name(name, known); };
+	const auto is_same = [&](const std::string& known) { return equals_ignore_case(name, known); };
 	const auto& prefixes = names.statement_prefixes;
 	const auto& known = names.known_statements;
 	return std::any_of(prefixes.begin(), prefixes.end(), begins_name) &&
 		   std::none_of(known.begin(), known.end(), is_same);
 }
 
-void read_field(replica_statements& into, const header_field& field, bool is_refusal,
+void read_field(replica_statements& result, const header_field& field, bool is_refusal,
 	const header_names& names, std::chrono::system_clock::time_point time_of_day)
 {
-	if (same_name(field.name, names.load_limit))
+	if (equals_ignore_case(field.name, names.load_limit))
 	{
-		const auto limit = read_amount(field.value);
+		const auto limit = parse_non_negative(field.value);
 		if (!limit)
 		{
-			into.unreadable = field.value;
+			result.unreadable = field.value;
 			return;
 		}
-		into.load_limit = std::min(into.load_limit.value_or(*limit), *limit);
+		result.load_limit = std::min(result.load_limit.value_or(*limit), *limit);
 	}
-	else if (same_name(field.name, names.leaving))
+	else if (equals_ignore_case(field.name, names.leaving))
 	{
-		into.leaves = into.leaves || field.value == "1";
+		result.is_draining = result.is_draining || field.value == "1";
 	}
-	else if (is_refusal && same_name(field.name, "Retry-After"))
+	else if (is_refusal && equals_ignore_case(field.name, "Retry-After"))
 	{
-		const auto wait = read_wait(field.value, time_of_day);
+		const auto wait = parse_retry_after(field.value, time_of_day);
 		if (!wait)
 		{
-			into.unreadable = field.value;
+			result.unreadable = field.value;
 			return;
 		}
-		into.rest = std::max(into.rest.value_or(*wait), *wait);
+		result.backoff = std::max(result.backoff.value_or(*wait), *wait);
 	}
 	else if (is_unknown(field.name, names))
 	{
-		into.unknown.push_back(field.name);
+		result.unknown.push_back(field.name);
 	}
 }
 } // namespace
 
 replica_statements read_statements(
-	const answer_head& head, const header_names& names, std::chrono::system_clock::time_point time_of_day)
+	const response_head& head, const header_names& names, std::chrono::system_clock::time_point time_of_day)
 {
 	replica_statements read;
 	const bool is_refusal = head.status == unavailable;
-	for (const auto& one : head.fields)
+	for (const auto& entry : head.fields)
 	{
-		read_field(read, one, is_refusal, names, time_of_day);
+		read_field(read, entry, is_refusal, names, time_of_day);
 	}
-	read.has_unclear_limit = !read.load_limit && find_field(head.fields, names.load_limit) != nullptr;
+	read.has_unreadable_limit = !read.load_limit && find_field(head.fields, names.load_limit) != nullptr;
 	return read;
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/request_metrics.cpp
+++ b/src/proxy/request_metrics.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Counters of how requests end, and histograms of their times.
+// Counters of requests by outcome, and latency histograms.
 #include <gingerdyke/metrics/text_format.hpp>
 #include <gingerdyke/proxy/request_log.hpp>
 #include <gingerdyke/proxy/request_metrics.hpp>
@@ -8,7 +8,7 @@
 {
 namespace
 {
-using metrics::write_head;
+using metrics::write_header;
 using metrics::write_histogram;
 using metrics::write_label;
 
@@ -35,23 +35,23 @@
 }
 } // namespace
 
-void request_metrics::note(const request_line& line)
+void request_metrics::record_request(const request_record& record)
 {
-	++outcomes_[name_of(line.outcome)];
-	if (line.outcome != request_outcome::served)
+	++outcomes_[name_of(record.outcome)];
+	if (record.outcome != request_outcome::served)
 	{
-		++reasons_[line.reason];
+		++reasons_[record.reason];
 	}
 	const bool was_answered =
-		line.outcome == request_outcome::served || line.outcome == request_outcome::failed_by_replica;
+		record.outcome == request_outcome::served || record.outcome == request_outcome::failed_by_replica;
 	if (!was_answered)
 	{
 		return;
 	}
-	for (auto* of : {&by_workspace_[line.workspace], &by_route_[line.route]})
+	for (auto* latencies : {&by_workspace_[record.workspace], &by_route_[record.route]})
 	{
-		of->total.add(static_cast<double>(line.took.count()));
-		of->first_byte.add(static_cast<double>(line.first_byte.count()));
+		latencies->total.add(static_cast<double>(record.elapsed.count()));
+		latencies->first_byte.add(static_cast<double>(record.first_byte.count()));
 	}
 }
 
@@ -63,22 +63,22 @@
 
 void request_metrics::write(std::ostream& out) const
 {
-	write_head(out, "gingerdyke_requests_total", "counter", "Requests by how they ended.");
+	write_header(out, "gingerdyke_requests_total", "counter", "Requests by how they ended.");
 	write_counter(out, "gingerdyke_requests_total", "outcome", outcomes_);
-	write_head(
+	write_header(
 		out, "gingerdyke_request_failures_total", "counter", "Requests that were not served, by reason.");
 	write_counter(out, "gingerdyke_request_failures_total", "reason", reasons_);
-	write_head(out, "gingerdyke_workspace_request_seconds", "histogram",
+	write_header(out, "gingerdyke_workspace_request_seconds", "histogram",
 		"Time from arrival to the end of the answer, by workspace; empty: no key needed.");
 	write_times(out, "gingerdyke_workspace_request_seconds", "workspace", by_workspace_, &times::total);
-	write_head(out, "gingerdyke_workspace_first_byte_seconds", "histogram",
+	write_header(out, "gingerdyke_workspace_first_byte_seconds", "histogram",
 		"Time from arrival to the first byte passed on, by workspace.");
 	write_times(
 		out, "gingerdyke_workspace_first_byte_seconds", "workspace", by_workspace_, &times::first_byte);
-	write_head(out, "gingerdyke_route_request_seconds", "histogram",
+	write_header(out, "gingerdyke_route_request_seconds", "histogram",
 		"Time from arrival to the end of the answer, by route.");
 	write_times(out, "gingerdyke_route_request_seconds", "route", by_route_, &times::total);
-	write_head(out, "gingerdyke_route_first_byte_seconds", "histogram",
+	write_header(out, "gingerdyke_route_first_byte_seconds", "histogram",
 		"Time from arrival to the first byte passed on, by route.");
 	write_times(out, "gingerdyke_route_first_byte_seconds", "route", by_route_, &times::first_byte);
 }
--- a/src/proxy/upstream_link.cpp
+++ b/src/proxy/upstream_link.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One connection to a replica.
+// An HTTP/1.1 connection to a replica.
 #include <charconv>
 #include <gingerdyke/proxy/upstream_link.hpp>
 #include <limits>
@@ -8,18 +8,18 @@
 {
 namespace
 {
-/// Bytes asked for by one read; a whole answer of a plain service mostly fits. Each connection holds as many,
-/// idle ones too, and a VM has a hundred and more.
+/// Buffer size of one read, enough for most complete responses of a plain service. Every connection, even an
+/// idle one, holds a buffer of this size, and a VM has more than a hundred.
 constexpr std::size_t read_size = 2048;
 
-/// Largest head of an answer, in bytes; the users' replicas send a few hundred.
-constexpr std::uint32_t largest_head = 65536;
+/// Maximum size of a response head in bytes; the users' replicas send a few hundred.
+constexpr std::uint32_t max_head_bytes = 65536;
 
 constexpr int first_success = 200;
 
-answer_head head_of(const beast::http::response_parser<beast::http::string_body>& parser)
+response_head head_of(const beast::http::response_parser<beast::http::string_body>& parser)
 {
-	answer_head head;
+	response_head head;
 	const auto& message = parser.get();
 	head.status = static_cast<int>(message.result_int());
 	head.reason = std::string{message.reason()};
@@ -42,31 +42,32 @@
 	{
 	case upstream_fault::not_connected:
 		return "not connected";
-	case upstream_fault::refused_connection:
+	case upstream_fault::connect_refused:
 		return "connection refused";
-	case upstream_fault::no_answer:
+	case upstream_fault::no_response:
 		return "no answer";
-	case upstream_fault::cut_answer:
+	case upstream_fault::truncated_response:
 		return "cut answer";
-	case upstream_fault::bad_answer:
+	case upstream_fault::invalid_response:
 		return "bad answer";
 	}
 	return "unknown";
 }
 
-upstream_link::upstream_link(asio::io_context& context, routing::replica_ptr to, std::string id_field)
-	: context_(context), to_(std::move(to)), id_field_(std::move(id_field)), socket_(context)
+upstream_connection::upstream_connection(
+	asio::io_context& context, routing::replica_ptr to, std::string id_field)
+	: context_(context), target_(std::move(to)), id_field_(std::move(id_field)), socket_(context)
 {
 }
 
-void upstream_link::send(upstream_request what, upstream_hooks hooks)
+void upstream_connection::send(upstream_request outgoing, upstream_callbacks callbacks)
 {
-	request_ = std::move(what);
-	hooks_ = std::make_shared<const upstream_hooks>(std::move(hooks));
+	request_ = std::move(outgoing);
+	callbacks_ = std::make_shared<const upstream_callbacks>(std::move(callbacks));
 	busy_ = true;
-	written_ = false;
-	head_given_ = false;
-	skipping_ = false;
+	request_written_ = false;
+	head_delivered_ = false;
+	skipping_stale_response_ = false;
 	reusable_ = false;
 	start_parser();
 	if (connected_)
@@ -79,43 +80,43 @@
 	}
 }
 
-void upstream_link::close()
+void upstream_connection::close()
 {
 	closed_ = true;
 	busy_ = false;
 	reusable_ = false;
-	hooks_.reset();
-	idle_ended_ = {};
+	callbacks_.reset();
+	idle_close_hook_ = {};
 	error_code ignored;
 	socket_.close(ignored);
 }
 
-void upstream_link::connect()
+void upstream_connection::connect()
 {
 	error_code error;
-	const auto ip = asio::ip::make_address_v4(to_->at.ip, error);
+	const auto ip = asio::ip::make_address_v4(target_->at.ip, error);
 	if (error)
 	{
 		asio::post(context_, [self = shared_from_this()] { self->fail(upstream_fault::not_connected); });
 		return;
 	}
-	socket_.async_connect({ip, to_->at.port},
-		[self = shared_from_this()](const error_code& failed)
+	socket_.async_connect({ip, target_->at.port},
+		[self = shared_from_this()](const error_code& connect_error)
 		{
 			if (self->closed_)
 			{
 				return;
 			}
-			if (failed)
+			if (connect_error)
 			{
-				const bool is_refused = failed == asio::error::connection_refused;
-				self->fail(is_refused ? upstream_fault::refused_connection : upstream_fault::not_connected);
+				const bool is_refused = connect_error == asio::error::connection_refused;
+				self->fail(is_refused ? upstream_fault::connect_refused : upstream_fault::not_connected);
 				return;
 			}
 			self->connected_ = true;
 			set_connection_options(self->socket_);
-			const auto hooks = self->hooks_;
-			hooks->connected();
+			const auto callbacks = self->callbacks_;
+			callbacks->connection_opened();
 			if (!self->closed_)
 			{
 				self->read();
@@ -124,27 +125,27 @@
 		});
 }
 
-void upstream_link::write()
+void upstream_connection::write()
 {
-	set_unacknowledged_limit(socket_, request_.unacknowledged_limit);
-	// The bytes outlive the call even where the link is given up meanwhile.
+	set_unacknowledged_timeout(socket_, request_.unacknowledged_timeout);
+	// Keeps the bytes alive during the write, even if the connection is closed meanwhile.
 	const auto bytes = std::make_shared<std::string>(std::move(request_.bytes));
 	asio::async_write(socket_, asio::buffer(*bytes),
 		[self = shared_from_this(), bytes](const error_code& error, std::size_t)
 		{
-			// A failed write is told by the read: an answer may have come before the connection broke.
-			self->written_ = !error;
+			// A write error is reported by the read: a response may have arrived before the connection broke.
+			self->request_written_ = !error;
 		});
 }
 
-void upstream_link::read()
+void upstream_connection::read()
 {
 	socket_.async_read_some(buffer_.prepare(read_size),
 		[self = shared_from_this()](const error_code& error, std::size_t size)
 		{ self->on_read(error, size); });
 }
 
-void upstream_link::on_read(const error_code& error, std::size_t size)
+void upstream_connection::on_read(const error_code& error, std::size_t size)
 {
 	if (closed_)
 	{
@@ -153,12 +154,13 @@
 	buffer_.commit(size);
 	if (!busy_)
 	{
-		// Nothing is due on an idle connection: neither its end nor bytes leave it fit for use.
-		const auto ended = std::move(idle_ended_);
+		// No data is expected on an idle connection: whether it was closed or has received bytes, it can't be
+		// reused.
+		const auto on_idle_closed = std::move(idle_close_hook_);
 		close();
-		if (ended)
+		if (on_idle_closed)
 		{
-			ended();
+			on_idle_closed();
 		}
 		return;
 	}
@@ -174,36 +176,36 @@
 	}
 }
 
-void upstream_link::on_bytes()
+void upstream_connection::on_bytes()
 {
-	while (busy_ && !closed_ && buffer_.size() > 0 && parse_some())
+	while (busy_ && !closed_ && buffer_.size() > 0 && parse_next())
 	{
 	}
 }
 
-bool upstream_link::parse_some()
+bool upstream_connection::parse_next()
 {
 	error_code error;
-	const auto used = parser_->put(buffer_.data(), error);
-	buffer_.consume(used);
+	const auto consumed = parser_->put(buffer_.data(), error);
+	buffer_.consume(consumed);
 	if (error && error != beast::http::error::need_more)
 	{
-		fail(upstream_fault::bad_answer);
+		fail(upstream_fault::invalid_response);
 		return false;
 	}
-	if (parser_->is_header_done() && !head_given_ && !on_head())
+	if (parser_->is_header_done() && !head_delivered_ && !on_head())
 	{
 		return !closed_ && busy_;
 	}
-	if (head_given_ && !skipping_)
+	if (head_delivered_ && !skipping_stale_response_)
 	{
 		auto& body = parser_->get().body();
 		if (!body.empty())
 		{
 			const auto bytes = std::exchange(body, {});
 			const auto self = shared_from_this();
-			const auto hooks = hooks_;
-			hooks->brought(bytes);
+			const auto callbacks = callbacks_;
+			callbacks->body_received(bytes);
 			if (closed_)
 			{
 				return false;
@@ -215,21 +217,21 @@
 		finish();
 		return true;
 	}
-	return used > 0;
+	return consumed > 0;
 }
 
-void upstream_link::start_parser()
+void upstream_connection::start_parser()
 {
 	parser_.emplace();
-	// `none` would refuse every answer that states a length in this version of Beast.
+	// In this version of Beast, `boost::none` would reject every response with a `Content-Length`.
 	parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
-	parser_->header_limit(largest_head);
+	parser_->header_limit(max_head_bytes);
 	parser_->eager(true);
 	parser_->skip(request_.is_head);
 }
 
-/// \returns False where the head is not handed on: what follows is read again from the start.
-bool upstream_link::on_head()
+/// \returns False if the head is not passed on: it was informational, or the connection was closed.
+bool upstream_connection::on_head()
 {
 	auto head = head_of(*parser_);
 	if (head.status < first_success)
@@ -237,25 +239,25 @@
 		start_parser();
 		return false;
 	}
-	head_given_ = true;
+	head_delivered_ = true;
 	const auto* id = head.find(id_field_);
 	if (id != nullptr && *id != request_.id)
 	{
-		skipping_ = true;
+		skipping_stale_response_ = true;
 		return true;
 	}
-	note_keep_alive(head.fields);
+	read_keep_alive(head.fields);
 	const auto* connection = head.find("Connection");
 	reusable_ = !head.ends_with_connection && !(connection != nullptr && has_token(*connection, "close"));
 	const auto self = shared_from_this();
-	const auto hooks = hooks_;
-	hooks->began(std::move(head));
+	const auto callbacks = callbacks_;
+	callbacks->head_received(std::move(head));
 	return !closed_;
 }
 
-void upstream_link::on_end_of_connection(const error_code& error)
+void upstream_connection::on_end_of_connection(const error_code& error)
 {
-	if (head_given_ && !skipping_ && parser_->need_eof() && error == asio::error::eof)
+	if (head_delivered_ && !skipping_stale_response_ && parser_->need_eof() && error == asio::error::eof)
 	{
 		error_code ignored;
 		parser_->put_eof(ignored);
@@ -268,44 +270,46 @@
 		fail(upstream_fault::not_connected);
 		return;
 	}
-	fail(head_given_ && !skipping_ ? upstream_fault::cut_answer : upstream_fault::no_answer);
+	fail(head_delivered_ && !skipping_stale_response_ ? upstream_fault::truncated_response
+													  : upstream_fault::no_response);
 }
 
-void upstream_link::finish()
+void upstream_connection::finish()
 {
-	if (skipping_)
+	if (skipping_stale_response_)
 	{
-		// The answer to an earlier request came late; ours is still due.
-		skipping_ = false;
-		head_given_ = false;
+		// This was a late response to an earlier request; the one to the current request is still to come.
+		skipping_stale_response_ = false;
+		head_delivered_ = false;
 		start_parser();
 		return;
 	}
-	++answers_;
-	// An answer that came before the request was sent, or more bytes than the answer has, end the connection.
-	reusable_ = reusable_ && written_ && buffer_.size() == 0;
+	++responses_;
+	// A connection is not reused if the response came before the request was sent, or was followed by further
+	// bytes.
+	reusable_ = reusable_ && request_written_ && buffer_.size() == 0;
 	busy_ = false;
-	const auto hooks = std::exchange(hooks_, nullptr);
+	const auto callbacks = std::exchange(callbacks_, nullptr);
 	const auto self = shared_from_this();
-	hooks->ended();
+	callbacks->response_completed();
 }
 
-void upstream_link::fail(upstream_fault fault)
+void upstream_connection::fail(upstream_fault fault)
 {
 	if (closed_)
 	{
 		return;
 	}
-	const auto hooks = hooks_;
+	const auto callbacks = callbacks_;
 	const auto self = shared_from_this();
 	close();
-	if (hooks)
+	if (callbacks)
 	{
-		hooks->failed(fault);
+		callbacks->request_failed(fault);
 	}
 }
 
-void upstream_link::note_keep_alive(const header_fields& fields)
+void upstream_connection::read_keep_alive(const header_fields& fields)
 {
 	const auto* text = find_field(fields, "Keep-Alive");
 	if (text == nullptr)
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Connections to replicas, kept for reuse.
+// Pool of connections to replicas.
 #include <algorithm>
 #include <gingerdyke/proxy/upstream_pool.hpp>
 
@@ -10,26 +10,27 @@
 {
 }
 
-std::shared_ptr<upstream_link> upstream_pool::take(
+std::shared_ptr<upstream_connection> upstream_pool::acquire(
 	const routing::replica_ptr& to, bool may_run_again, instant now)
 {
-	auto& known = entry_of(*to);
-	++known.in_use;
-	// The one used last is the least likely to be dead.
-	while (!known.idle.empty())
+	auto& pooled = entry_of(*to);
+	++pooled.in_use;
+	// The most recently used connection is the least likely to be dead.
+	while (!pooled.idle_connections.empty())
 	{
-		const auto last = std::move(known.idle.back());
-		known.idle.pop_back();
-		if (fits(last, may_run_again, now))
+		const auto last = std::move(pooled.idle_connections.back());
+		pooled.idle_connections.pop_back();
+		if (is_usable(last, may_run_again, now))
 		{
-			return last.link;
+			return last.connection;
 		}
-		last.link->close();
+		last.connection->close();
 	}
-	return std::make_shared<upstream_link>(context_, to, id_field_);
+	return std::make_shared<upstream_connection>(context_, to, id_field_);
 }
 
-/// The connections to a replica's process; those to the one before under its id are of no use.
+/// The entry for a replica's current process. Connections to the previous process under the same id are
+/// discarded.
 upstream_pool::entry& upstream_pool::entry_of(const routing::replica& to)
 {
 	const auto found = entries_.find(to.id);
@@ -41,47 +42,48 @@
 	return entries_.try_emplace(to.id, entry{to.incarnation, {}, 0}).first->second;
 }
 
-void upstream_pool::close_idle(entry& of)
+void upstream_pool::close_idle(entry& target_entry)
 {
-	for (const auto& one : std::exchange(of.idle, {}))
+	for (const auto& candidate : std::exchange(target_entry.idle_connections, {}))
 	{
-		one.link->close();
+		candidate.connection->close();
 	}
 }
 
-void upstream_pool::give_back(const std::shared_ptr<upstream_link>& link, instant now)
+void upstream_pool::release(const std::shared_ptr<upstream_connection>& connection, instant now)
 {
-	const auto id = link->to()->id;
+	const auto id = connection->target()->id;
 	const auto found = entries_.find(id);
-	if (found == entries_.end() || found->second.incarnation != link->to()->incarnation)
+	if (found == entries_.end() || found->second.incarnation != connection->target()->incarnation)
 	{
-		link->close();
+		connection->close();
 		return;
 	}
 	--found->second.in_use;
-	if (!link->reusable())
+	if (!connection->reusable())
 	{
-		link->close();
+		connection->close();
 		return;
 	}
-	link->on_idle_end([this, id, raw = link.get()] { remove_idle(id, raw); });
-	found->second.idle.push_back({link, now});
+	connection->on_idle_close([this, id, raw = connection.get()] { remove_idle(id, raw); });
+	found->second.idle_connections.push_back({connection, now});
 }
 
-unsigned upstream_pool::open(const replica_id& id) const
+unsigned upstream_pool::connection_count(const replica_id& id) const
 {
 	const auto found = entries_.find(id);
-	return found == entries_.end() ? 0
-								   : found->second.in_use + static_cast<unsigned>(found->second.idle.size());
+	return found == entries_.end()
+			   ? 0
+			   : found->second.in_use + static_cast<unsigned>(found->second.idle_connections.size());
 }
 
-std::size_t upstream_pool::idle(const replica_id& id) const
+std::size_t upstream_pool::idle_count(const replica_id& id) const
 {
 	const auto found = entries_.find(id);
-	return found == entries_.end() ? 0 : found->second.idle.size();
+	return found == entries_.end() ? 0 : found->second.idle_connections.size();
 }
 
-void upstream_pool::drop(const replica_id& id)
+void upstream_pool::close_idle_connections(const replica_id& id)
 {
 	const auto found = entries_.find(id);
 	if (found == entries_.end())
@@ -95,24 +97,25 @@
 	}
 }
 
-bool upstream_pool::fits(const idle_link& one, bool may_run_again, instant now) const
+bool upstream_pool::is_usable(const idle_connection& candidate, bool may_run_again, instant now) const
 {
-	const auto idle = now - one.since;
-	if (!may_run_again && idle > tuning_.trusted_idle)
+	const auto idle = now - candidate.since;
+	if (!may_run_again && idle > tuning_.max_trusted_idle)
 	{
 		return false;
 	}
-	const auto kept = one.link->keep_alive_time();
-	return !kept ||
-		   static_cast<double>(idle.count()) < static_cast<double>(kept->count()) * tuning_.kept_share;
+	const auto keep_alive = candidate.connection->keep_alive_time();
+	return !keep_alive || static_cast<double>(idle.count()) <
+							  static_cast<double>(keep_alive->count()) * tuning_.keep_alive_factor;
 }
 
-void upstream_pool::remove_idle(const replica_id& id, const upstream_link* link)
+void upstream_pool::remove_idle(const replica_id& id, const upstream_connection* connection)
 {
 	const auto found = entries_.find(id);
 	if (found != entries_.end())
 	{
-		std::erase_if(found->second.idle, [link](const idle_link& one) { return one.link.get() == link; });
+		std::erase_if(found->second.idle_connections, [connection](const idle_connection& candidate)
+			{ return candidate.connection.get() == connection; });
 	}
 }
 } // namespace gingerdyke::proxy
--- a/src/rollout/version_evidence.cpp
+++ b/src/rollout/version_evidence.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What the answers of an old and a new version tell, as counts that VMs add up.
+// Observations of the responses of an old and a new version, as counts that can be summed over VMs.
 #include <algorithm>
 #include <gingerdyke/rollout/version_evidence.hpp>
 
@@ -7,7 +7,7 @@
 {
 namespace
 {
-void add(times_by_model& to, const times_by_model& other)
+void add(latencies_by_model& to, const latencies_by_model& other)
 {
 	for (const auto& [model, seen] : other)
 	{
@@ -15,7 +15,7 @@
 	}
 }
 
-void take_off(times_by_model& from, const times_by_model& other)
+void subtract(latencies_by_model& from, const latencies_by_model& other)
 {
 	for (const auto& [model, seen] : other)
 	{
@@ -23,29 +23,29 @@
 	}
 }
 
-std::uint64_t size_of(const times_by_model& times)
+std::uint64_t size_of(const latencies_by_model& times)
 {
 	std::uint64_t sum = 0;
 	for (const auto& [model, seen] : times)
 	{
-		sum += seen.usual.size() + seen.before.size() + seen.old_version.sum().size() +
+		sum += seen.baseline.size() + seen.pre_trial.size() + seen.old_version.sum().size() +
 			   seen.new_version.sum().size();
 	}
 	return sum;
 }
 } // namespace
 
-// What idle engines need, in the order of magnitude of the users' engines: only ratios of two versions are
-// compared.
+// The constants for idle engines give the order of magnitude for typical engines; precision is not needed,
+// since only ratios of two versions are compared.
 
-double relative_answer_time(duration took, double prompt_tokens) noexcept
+double relative_first_byte_latency(duration took, double prompt_tokens) noexcept
 {
 	constexpr double idle_ms = 20;
 	constexpr double tokens_per_ms = 50;
 	return to_milliseconds(took) / (idle_ms + prompt_tokens / tokens_per_ms);
 }
 
-double relative_pace(duration between_events) noexcept
+double relative_event_interval(duration between_events) noexcept
 {
 	constexpr double idle_ms = 20;
 	return to_milliseconds(between_events) / idle_ms;
@@ -53,7 +53,7 @@
 
 route_evidence& route_evidence::operator+=(const route_evidence& other)
 {
-	before += other.before;
+	pre_trial += other.pre_trial;
 	old_version += other.old_version;
 	new_version += other.new_version;
 	return *this;
@@ -61,25 +61,25 @@
 
 route_evidence& route_evidence::operator-=(const route_evidence& other)
 {
-	before -= other.before;
+	pre_trial -= other.pre_trial;
 	old_version -= other.old_version;
 	new_version -= other.new_version;
 	return *this;
 }
 
-time_evidence& time_evidence::operator+=(const time_evidence& other)
+latency_evidence& latency_evidence::operator+=(const latency_evidence& other)
 {
-	usual += other.usual;
-	before += other.before;
+	baseline += other.baseline;
+	pre_trial += other.pre_trial;
 	old_version += other.old_version;
 	new_version += other.new_version;
 	return *this;
 }
 
-time_evidence& time_evidence::operator-=(const time_evidence& other)
+latency_evidence& latency_evidence::operator-=(const latency_evidence& other)
 {
-	usual -= other.usual;
-	before -= other.before;
+	baseline -= other.baseline;
+	pre_trial -= other.pre_trial;
 	old_version -= other.old_version;
 	new_version -= other.new_version;
 	return *this;
@@ -91,9 +91,9 @@
 	{
 		by_route[route] += seen;
 	}
-	add(by_model, other.by_model);
-	add(by_pace, other.by_pace);
-	late += other.late;
+	add(first_byte_by_model, other.first_byte_by_model);
+	add(event_intervals_by_model, other.event_intervals_by_model);
+	peak_load_phase += other.peak_load_phase;
 	return *this;
 }
 
@@ -103,9 +103,9 @@
 	{
 		by_route[route] -= seen;
 	}
-	take_off(by_model, other.by_model);
-	take_off(by_pace, other.by_pace);
-	late -= other.late;
+	subtract(first_byte_by_model, other.first_byte_by_model);
+	subtract(event_intervals_by_model, other.event_intervals_by_model);
+	peak_load_phase -= other.peak_load_phase;
 	return *this;
 }
 
@@ -119,15 +119,16 @@
 	return all;
 }
 
-std::uint64_t version_evidence::new_answers() const
+std::uint64_t version_evidence::new_version_responses() const
 {
-	return all_routes().new_version.sum().answers;
+	return all_routes().new_version.sum().responses;
 }
 
 std::uint64_t version_evidence::size() const
 {
 	const auto all = all_routes();
-	const auto answers = all.before.answers + all.old_version.sum().answers + all.new_version.sum().answers;
-	return answers + size_of(by_model) + size_of(by_pace);
+	const auto responses =
+		all.pre_trial.responses + all.old_version.sum().responses + all.new_version.sum().responses;
+	return responses + size_of(first_byte_by_model) + size_of(event_intervals_by_model);
 }
 } // namespace gingerdyke::rollout
--- a/tests/platform/platform.cpp
+++ b/tests/platform/platform.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The adapter: rows and settings decoded, the store's protocol against its stand-in, a VM's control as a
-// whole.
+// The platform adapter: decoding of rows and settings, the registry client against a stand-in registry, and
+// the coordinator of a VM as a whole.
 #include "../support/controlled_vm.hpp"
 #include <settings.hpp>
 
@@ -36,7 +36,7 @@
 }
 } // namespace
 
-TEST_CASE("a configuration becomes routes, services, keys and limits", "[platform]")
+TEST_CASE("a configuration row is decoded into routes, services, keys and limits", "[platform]")
 {
 	const auto read = platform::read_configuration(row_of("config", configuration(7)));
 	REQUIRE(read);
@@ -45,55 +45,55 @@
 	const auto* route = catalog.find_route("h", "/a/b");
 	REQUIRE(route != nullptr);
 	CHECK(route->streams);
-	CHECK(route->may_run_again());
+	CHECK(route->is_retryable());
 	CHECK(route->models.size() == 2);
 	CHECK(route->services.size() == 2);
-	CHECK(route->longest_pause == std::chrono::seconds{1});
+	CHECK(route->max_event_interval == std::chrono::seconds{1});
 	CHECK(catalog.find_workspace("k2")->priority == 2U);
 	CHECK(catalog.find_workspace("k3") == nullptr);
 	CHECK(catalog.find_service(service_id{"x"})->connections_per_replica == 360);
 	CHECK(catalog.limits().header_bytes == 100);
 }
 
-TEST_CASE("rows that can't be understood give findings with their place", "[platform]")
+TEST_CASE("rows that can't be decoded yield findings that name the row", "[platform]")
 {
 	auto broken = configuration(7);
 	broken.erase("routes");
 	const auto read = platform::read_configuration(row_of("config", broken));
 	REQUIRE_FALSE(read);
-	CHECK(read.error().front().place.source == "op/config");
+	CHECK(read.error().front().location.source == "op/config");
 	auto entry = replica();
 	entry["address"] = "nowhere";
 	CHECK_FALSE(platform::read_replica(row_of("i-1", entry)));
 	CHECK_FALSE(platform::read_shift_order(row_of("rollout/x", {{"service", "x"}})));
 }
 
-TEST_CASE("settings: every finding at once, with its place", "[platform][settings]")
+TEST_CASE("all findings about invalid settings are reported at once", "[platform][settings]")
 {
 	const json good{{"vm", "v"}, {"failure_domain", "a"}, {"serve", "127.0.0.1:1"}, {"ready", "127.0.0.1:2"},
 		{"registry", "127.0.0.1:3"}, {"relay", "127.0.0.1:4"}, {"stop_limit_ms", 8000},
 		{"keys_revoked_ms", 5000}, {"keys_must_expire", true},
 		{"attempts", {{"ratio", 0.9}, {"window_s", 10}, {"slack", 54}}}};
-	const auto read = platform::read_settings(json_source::of_value("f", good));
+	const auto read = platform::read_settings(json_source::from_value("f", good));
 	REQUIRE(read);
 	CHECK(read->bounds.revocation_time == std::chrono::milliseconds{4700});
-	CHECK(read->news_limit() == std::chrono::seconds{2});
-	auto evacuating = good;
-	evacuating["evacuation_limit_ms"] = 900;
-	CHECK(platform::read_settings(json_source::of_value("f", evacuating))->news_limit() ==
+	CHECK(read->propagation_limit() == std::chrono::seconds{2});
+	auto with_evacuation = good;
+	with_evacuation["evacuation_limit_ms"] = 900;
+	CHECK(platform::read_settings(json_source::from_value("f", with_evacuation))->propagation_limit() ==
 		  std::chrono::milliseconds{900});
 	auto bad = good;
 	bad["serve"] = 5;
 	bad.erase("vm");
-	const auto findings = platform::read_settings(json_source::of_value("f", bad));
+	const auto findings = platform::read_settings(json_source::from_value("f", bad));
 	REQUIRE_FALSE(findings);
 	CHECK(findings.error().size() >= 2);
-	auto port = good;
-	port["ready"] = "127.0.0.1:0";
-	CHECK_FALSE(platform::read_settings(json_source::of_value("f", port)));
+	auto bad_port = good;
+	bad_port["ready"] = "127.0.0.1:0";
+	CHECK_FALSE(platform::read_settings(json_source::from_value("f", bad_port)));
 }
 
-TEST_CASE("the registry's client reads tables over several pages, follows, and writes under conditions",
+TEST_CASE("the registry client reads paged tables, follows changes and writes conditionally",
 	"[platform][registry]")
 {
 	proxy::asio::io_context context{1};
@@ -104,50 +104,52 @@
 		registry.put("t", "key/" + std::to_string(i), i);
 	}
 	std::optional<control::store_result<control::row_batch>> batch;
-	const auto take = [&](control::store_result<control::row_batch> result) { batch = std::move(result); };
-	client.read_all("t", take);
+	const auto store_batch = [&](control::store_result<control::row_batch> result)
+	{ batch = std::move(result); };
+	client.read_all("t", store_batch);
 	run_until(context, [&] { return batch.has_value(); });
 	REQUIRE(*batch);
 	CHECK((*batch)->rows.size() == 1200);
 	const auto newest = (*batch)->newest;
 
 	batch.reset();
-	client.follow("t", newest, std::chrono::seconds{10}, take);
+	client.follow("t", newest, std::chrono::seconds{10}, store_batch);
 	registry.remove("t", "key/3");
 	run_until(context, [&] { return batch.has_value(); });
 	REQUIRE(*batch);
 	REQUIRE((*batch)->rows.size() == 1);
 	CHECK((*batch)->rows.front().removed);
 
-	std::optional<control::store_result<control::change_answer>> changed;
+	std::optional<control::store_result<control::change_result>> changed;
 	client.change({{{"own", "k", control::row_version{0}}}, {{"own", "k", "\"value\""}}, {}},
-		[&](control::store_result<control::change_answer> result) { changed = std::move(result); });
+		[&](control::store_result<control::change_result> result) { changed = std::move(result); });
 	run_until(context, [&] { return changed.has_value(); });
-	CHECK((*changed)->done);
+	CHECK((*changed)->committed);
 	CHECK(registry.value("own", "k") == "value");
 
 	changed.reset();
 	client.change({{{"own", "k", control::row_version{0}}}, {{"own", "k", "\"other\""}}, {}},
-		[&](control::store_result<control::change_answer> result) { changed = std::move(result); });
+		[&](control::store_result<control::change_result> result) { changed = std::move(result); });
 	run_until(context, [&] { return changed.has_value(); });
-	CHECK_FALSE((*changed)->done);
+	CHECK_FALSE((*changed)->committed);
 	REQUIRE((*changed)->rows.size() == 1);
 	CHECK((*changed)->rows.front().value == "\"value\"");
 
 	batch.reset();
 	registry.compact();
-	client.follow("t", newest, std::chrono::seconds{10}, take);
+	client.follow("t", newest, std::chrono::seconds{10}, store_batch);
 	run_until(context, [&] { return batch.has_value(); });
 	CHECK(batch->error() == control::store_error::history_gone);
 
 	batch.reset();
-	registry.fail_with(platform::standin::registry_fault::silent);
-	client.follow("t", newest, std::chrono::milliseconds{10}, take);
+	registry.set_fault(platform::standin::registry_fault::no_response);
+	client.follow("t", newest, std::chrono::milliseconds{10}, store_batch);
 	run_until(context, [&] { return batch.has_value(); });
 	CHECK(batch->error() == control::store_error::unreachable);
 }
 
-TEST_CASE("a VM becomes ready, and a change, a drain and an order reach it", "[platform][control]")
+TEST_CASE("a VM becomes ready and applies configuration changes, drained replicas and shift orders",
+	"[platform][control]")
 {
 	proxy_world world;
 	platform::standin::registry registry{world.context};
@@ -171,24 +173,23 @@
 	world.run_until([&] { return world.gateway().versions().plan_of(service_id{"x"}) != nullptr; });
 }
 
-TEST_CASE("a registry that forgets its history is read again, and one that is away is found again",
-	"[platform][control]")
+TEST_CASE("a VM rereads the registry after lost history and recovers from an outage", "[platform][control]")
 {
 	proxy_world world;
 	platform::standin::registry registry{world.context};
 	registry.put("op", "config", configuration(1));
 	controlled_vm vm{world, registry, "vm1"};
 	world.run_until([&] { return world.gateway().ready(); });
-	registry.fail_with(platform::standin::registry_fault::unavailable);
+	registry.set_fault(platform::standin::registry_fault::unavailable);
 	registry.put("op", "config", configuration(2));
 	world.context.restart();
 	world.context.run_for(std::chrono::milliseconds{30});
 	registry.compact();
-	registry.fail_with(platform::standin::registry_fault::none);
+	registry.set_fault(platform::standin::registry_fault::none);
 	world.run_until([&] { return world.gateway().catalog()->version().value() == 2; });
 }
 
-TEST_CASE("a VM that starts again at its address does not register again", "[platform][control]")
+TEST_CASE("a VM that restarts at the same address does not rewrite its registration", "[platform][control]")
 {
 	proxy_world world;
 	platform::standin::registry registry{world.context};
@@ -203,7 +204,8 @@
 	CHECK(registry.value("gingerdyke", "vm/vm1").at("mark") == 1);
 }
 
-TEST_CASE("what a VM sees of a bad version reaches the registry through its reader", "[platform][control]")
+TEST_CASE(
+	"evidence against a bad version reaches the registry through the VM that reads it", "[platform][control]")
 {
 	proxy_world reader_world;
 	platform::standin::registry registry{reader_world.context};
@@ -219,7 +221,7 @@
 	rollout::shift_evidence seen{service_id{"x"}, order, {}};
 	seen.seen.by_route["r"].new_version[2] = {12, 12};
 	reader_world.gateway().versions().on_relayed_evidence("vm2-1", seen, proxy::steady_now());
-	reader.coordinator.arm();
+	reader.coordinator.schedule_write();
 	reader_world.run_until([&] { return registry.value("gingerdyke-evidence", "x/vm2-1").is_object(); });
 	reader_world.run_until(
 		[&] { return registry.value("status", "rollout/x").at("state") == "rolled_back"; });
--- a/tests/support/control_world.hpp
+++ b/tests/support/control_world.hpp
@@ -39,10 +39,11 @@
 inline relay_server_hooks serving(const table_cache& cache)
 {
 	relay_server_hooks hooks;
-	hooks.find = [&cache](const std::string& table) { return table == cache.table() ? &cache : nullptr; };
+	hooks.find_table = [&cache](const std::string& table)
+	{ return table == cache.table() ? &cache : nullptr; };
 	hooks.reads_registry = [](const std::string&) { return true; };
-	hooks.reported = [](const peer_report&) {};
-	hooks.summarise = [](const std::string&) { return peer_summary{}; };
+	hooks.report_received = [](const peer_report&) {};
+	hooks.make_summary = [](const std::string&) { return peer_summary{}; };
 	return hooks;
 }
 
@@ -109,7 +110,7 @@
 		follows.push_back({table, wait, std::move(done)});
 	}
 	void abandon() override { ++abandoned; }
-	void change(const row_change&, std::function<void(store_result<change_answer>)>) override {}
+	void change(const row_change&, std::function<void(store_result<change_result>)>) override {}
 
 	/// Answers the oldest call for a whole table.
 	void answer_whole(row_version newest)
@@ -138,9 +139,9 @@
 {
 	shared_store_hooks hooks;
 	hooks.report = [](const std::string&) { return std::nullopt; };
-	hooks.summarised = [](const peer_summary&) {};
-	hooks.moved = [](bool) {};
-	hooks.vouched = [](const std::string&, instant) {};
+	hooks.summary_received = [](const peer_summary&) {};
+	hooks.reader_role_changed = [](bool) {};
+	hooks.copy_confirmed = [](const std::string&, instant) {};
 	return hooks;
 }
 
--- a/tests/support/proxy_world.hpp
+++ b/tests/support/proxy_world.hpp
@@ -64,8 +64,8 @@
 	/// \brief Puts the configuration in force and makes the replicas known.
 	void start(const std::vector<std::pair<std::string, const scripted_replica*>>& replicas)
 	{
-		gateway_.take(std::make_shared<const routing::catalog>(data));
-		gateway_.confirm(proxy::steady_now());
+		gateway_.apply_catalog(std::make_shared<const routing::catalog>(data));
+		gateway_.confirm_catalog(proxy::steady_now());
 		std::vector<routing::replica> entries;
 		for (const auto& [service, one] : replicas)
 		{
@@ -76,7 +76,7 @@
 			entry.version = "v1";
 			entries.push_back(entry);
 		}
-		gateway_.take_replicas(std::move(entries), proxy::steady_now());
+		gateway_.set_replicas(std::move(entries), proxy::steady_now());
 	}
 
 	[[nodiscard]] proxy::gateway& gateway() noexcept { return gateway_; }
@@ -106,7 +106,7 @@
 		made.path_prefix = prefix;
 		made.services.push_back({service_id{service}, 1});
 		made.time_limit = std::chrono::seconds{30};
-		made.objective = std::chrono::seconds{20};
+		made.latency_objective = std::chrono::seconds{20};
 		return made;
 	}
 
@@ -121,10 +121,10 @@
 		return made;
 	}
 
-	std::shared_ptr<proxy::caller_link_host> host()
+	std::shared_ptr<proxy::caller_connection_callbacks> host()
 	{
-		auto made = std::make_shared<proxy::caller_link_host>();
-		made->handle = [this](proxy::request what, std::shared_ptr<proxy::answer_sink> to)
+		auto made = std::make_shared<proxy::caller_connection_callbacks>();
+		made->handle = [this](proxy::request what, std::shared_ptr<proxy::response_sink> to)
 		{ return gateway_.handle(std::move(what), std::move(to)); };
 		made->limits = [this] { return data.limits; };
 		made->stopping = [] { return false; };
--- a/tests/support/shift_vm.hpp
+++ b/tests/support/shift_vm.hpp
@@ -14,16 +14,16 @@
 /// \brief One VM whose registry clock runs with its own, 7 s ahead.
 struct vm
 {
-	explicit vm(std::uint64_t seed) : shift(seeded_random{seed}, [](const rollout::shift_news&) {})
+	explicit vm(std::uint64_t seed) : shift(seeded_random{seed}, [](const rollout::shift_event&) {})
 	{
 		const auto old = std::make_shared<routing::replica>();
 		old->service = service;
 		old->version = "v1";
-		shift.note_replicas(service, {old});
+		shift.set_replicas(service, {old});
 		hear();
 	}
 
-	void hear() { shift.note_registry_time(now.time_since_epoch() + std::chrono::seconds{7}, now); }
+	void hear() { shift.update_registry_time(now.time_since_epoch() + std::chrono::seconds{7}, now); }
 
 	/// A VM in touch hears from the registry at least this often.
 	void pass(duration span)
@@ -37,11 +37,11 @@
 	}
 
 	/// Answers of a version: failures in a fixed pattern.
-	void see(const std::string& version, unsigned count, unsigned failures, double relative_time = 1)
+	void see(const std::string& version, unsigned count, unsigned failures, double relative_latency = 1)
 	{
 		for (unsigned i = 0; i < count; ++i)
 		{
-			shift.note_answer(service, version, {"route", "model", i < failures, relative_time}, now);
+			shift.record_response(service, version, {"route", "model", i < failures, relative_latency}, now);
 		}
 	}
 
