--- a/include/gingerdyke/limits/attempt_budget.hpp
+++ b/include/gingerdyke/limits/attempt_budget.hpp
@@ -17,8 +17,8 @@
 	/// Length of the sliding window.
 	duration window = std::chrono::seconds{10};
 
-	/// Share of the ratio that is used. The rest is a margin for requests that fall into one window here
-	/// and into another one at the replica.
+	/// Share of the ratio that is used. The rest is a margin for requests that fall into one window at this
+	/// VM and into another window at the replica.
 	double used_share = 0.92;
 
 	/// Additional attempts that are allowed on top, for this VM alone.
@@ -50,7 +50,7 @@
 		return true;
 	}
 
-	/// \brief Returns the attempt that was taken last, because it was not sent.
+	/// \brief Puts the attempt that was taken last back into the budget, because it was not sent.
 	void refund()
 	{
 		if (!additional_.empty())
--- a/include/gingerdyke/limits/call_limiter.hpp
+++ b/include/gingerdyke/limits/call_limiter.hpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Rate limiter for calls to the platform: claims first, then bills, then table reads, then the rest.
+// Rate limiter for calls to the platform: claims first, then bills, then table reads, then all others.
 #pragma once
 
 #include <algorithm>
--- a/include/gingerdyke/quarantine/replica_runs.hpp
+++ b/include/gingerdyke/quarantine/replica_runs.hpp
@@ -17,16 +17,16 @@
 /// \brief Identifies one process of a replica, equally on all VMs. A hash of the replica's id, its
 /// incarnation, and the number of earlier exits under the same id and incarnation, which tells processes of
 /// a replica with unknown incarnation apart.
-using process_instance = quantity<struct process_life_tag>;
+using process_instance = quantity<struct process_instance_tag>;
 
-/// \brief Outcome of an execution, as far as it tells about the request.
+/// \brief Outcome of an execution, as far as it is evidence for or against the request.
 enum class run_outcome
 {
-	/// The replica completed it successfully and kept running.
+	/// The replica completed the request successfully and kept running.
 	completed,
-	/// The replica completed it with an error, or reports that it did not execute it.
+	/// The replica completed the request with an error, or reports that it did not execute it.
 	finished,
-	/// It was cancelled, or its connection broke: the replica may still be executing it.
+	/// The request was cancelled, or its connection broke: the replica may still be executing it.
 	abandoned,
 };
 
@@ -82,7 +82,7 @@
 		run_number number;
 		request_key key;
 
-		/// When it was abandoned; none: it is running.
+		/// When the execution was abandoned; none: it is running.
 		std::optional<instant> abandoned_at;
 	};
 
@@ -92,7 +92,7 @@
 		/// Number of exits that this VM saw under this entry.
 		unsigned exit_count{};
 
-		/// When the exit of the current process was recorded; none: it is running.
+		/// When the exit of the current process was recorded; none: the process is running.
 		std::optional<instant> exited_at;
 
 		/// The entry is no longer used for new requests.
--- a/include/gingerdyke/quarantine/suspect_list.hpp
+++ b/include/gingerdyke/quarantine/suspect_list.hpp
@@ -35,11 +35,12 @@
 struct suspect_tuning
 {
 	/// Weighted number of exits at which a request is quarantined. In a deployment of 18 replicas, a single
-	/// exit involves 20 and more requests and two exits still share some; users allow only a few more
-	/// sends.
+	/// exit involves 20 and more requests and two exits still share some; users allow a request to be sent
+	/// only a few more times.
 	double quarantine_exits = 3;
 
-	/// Weight of an exit that coincided with others. At this weight, requests that were running on three
+	/// Weight of an exit that is attributed to another cause than the request because others occurred at
+	/// the same time. At this weight, requests that were running on three
 	/// replicas of a failed rack, or were retried on replicas that were lost in the next failure, are still
 	/// served. With a weight of 1, 24 of 458 requests that were running during unrelated exits would have
 	/// been quarantined (in one day with six series of exits within 41 s).
@@ -54,11 +55,12 @@
 	/// a popular request is completed again and again, even if processes exit while they run it.
 	double min_exits_per_completion = 2;
 
-	/// How long evidence is kept after the last exit. Clients retry for minutes, and whoever fixes a model
-	/// or the request need not wait for longer than a roll-out takes.
+	/// How long evidence is kept after the last exit. Clients retry for minutes, and once a model
+	/// or the request is fixed, nobody should have to wait for longer than a roll-out takes.
 	duration lifetime = std::chrono::minutes{10};
 
-	/// Evidence of at least this weight is stored by any VM that saw one of the exits itself: the next exit
+	/// Evidence of at least this weight is stored in the registry by any VM that saw one of the exits
+	/// itself: the next exit
 	/// would quarantine the request, and storing it through the VM that reads the registry for others takes
 	/// 0.2 s more.
 	double direct_store_weight = 2;
@@ -67,16 +69,17 @@
 	/// decision.
 	std::size_t max_processes = 8;
 
-	/// Maximum number of processes kept as having exited at the same time as another one. Two that were not
-	/// running the request are needed for a decision, and two more may turn out to have been running it;
-	/// each adds 8 bytes to every report.
+	/// Maximum number of simultaneously exited processes kept per exit. Two that were not running the
+	/// request are needed for a decision, and two more may turn out to have been running it; each adds 8
+	/// bytes to every report.
 	std::size_t max_simultaneous = 4;
 
 	/// Maximum number of suspect requests; those with the fewest exits are dropped first. A simultaneous
 	/// loss of 20 engines leaves about 500 on the VMs of a failure domain.
 	std::size_t max_suspects = 1024;
 
-	/// How long a change is included in reports to other VMs: several reports, as one may be lost.
+	/// How long a change is included in reports to other VMs: in several reports, as a single report may be
+	/// lost.
 	duration report_time = std::chrono::seconds{4};
 
 	/// Maximum number of requests in one report, and of requests with a single exit that are stored at
@@ -135,7 +138,7 @@
 
 	/// \brief Returns evidence that should be stored in the registry and is not yet, as far as this VM
 	/// knows.
-	/// \param for_others This VM reads the registry for others, and stores what they saw.
+	/// \param for_others Whether this VM reads the registry for others and stores their evidence too.
 	[[nodiscard]] std::vector<suspicion> unstored(bool for_others, instant now) const;
 
 	/// \brief Returns when a replica last exited while running a request; none: there is no evidence
@@ -167,8 +170,9 @@
 	[[nodiscard]] const entry* find(const request_key& key, instant now) const;
 	[[nodiscard]] bool has_other_cause(
 		const std::set<process_instance>& simultaneous, const suspicion& known) const;
-	/// Whether, for each exit, the processes that exited at the same time without running the request are
-	/// no more than those that exited while running it.
+	/// Whether VMs of another failure domain may know as many exits that the request caused. This is so if,
+	/// for each exit, the processes that exited at the same time without running the request are no more
+	/// than those that exited while running it.
 	[[nodiscard]] bool may_be_half_known(const suspicion& known) const;
 	[[nodiscard]] double weight_of(const suspicion& known) const;
 	[[nodiscard]] bool exceeds_threshold(const suspicion& known, std::size_t additional_exits) const;
--- a/include/gingerdyke/routing/announced_limits.hpp
+++ b/include/gingerdyke/routing/announced_limits.hpp
@@ -55,9 +55,9 @@
 /// \brief Tuning of `announced_limits`.
 struct announced_limits_tuning
 {
-	/// If there are more VMs than twice the requests per second plus this, only as many of them as the
-	/// requests per second plus this have a share. All VMs with a share may send at the same moment, and an
-	/// overloaded replica must not get a burst from the whole fleet.
+	/// If there are more VMs than twice the limit in requests per second plus this number, only as many of
+	/// them have a share as the limit in requests per second plus this number. All VMs with a share may
+	/// send at the same moment, and an overloaded replica must not get a burst from the whole fleet.
 	double burst = 4;
 
 	/// Longest interval between two requests of a VM with a share. Otherwise a replica with a very low
@@ -72,21 +72,21 @@
 	/// the overload is over even if no other VM could report it.
 	double probe_share = 0.25;
 
-	/// How long a VM reports what it received itself to other VMs: longer than the longest interval, so
-	/// that a limit in force is always being reported.
+	/// How long a VM reports limits that it received itself to other VMs: longer than the longest interval,
+	/// so that a limit in force is always being reported.
 	duration report_lifetime = std::chrono::seconds{35};
 };
 
 /// \brief Tracks the rate limits that replicas announce and computes this VM's share of each.
 ///
-/// A limit holds until the replica answers a request without announcing one. Responses on different
+/// A limit applies until the replica responds to a request without announcing a limit. Responses on different
 /// connections can overtake each other, so only a request that was sent after the limit was last received
 /// counts.
 ///
 /// VMs do not negotiate their shares: each computes from the list of VMs how often it may send. In any span
 /// of t seconds the VMs with a share together send at most the limit times t + 1, plus one request each;
-/// those without a share take turns at a part of the limit. The last list that was read is used however old
-/// it is: during a registry outage no VM is added to it either.
+/// those without a share take turns at a part of the limit. The last list that was read is used whatever its
+/// age: VMs cannot be added to the list during a registry outage.
 class announced_limits
 {
   public:
@@ -102,7 +102,8 @@
 	/// \brief Applies what another VM has learned about a replica's limit.
 	void apply_peer_update(const replica& target, const limit_update& update, instant now);
 
-	/// \brief Returns what this VM itself recently received, for other VMs.
+	/// \brief Returns the limits and removals that this VM itself recently received, to report to other
+	/// VMs.
 	[[nodiscard]] std::vector<limit_update> local_updates(instant now) const;
 
 	/// \brief Drops the state of a replica that is gone or has restarted.
@@ -117,8 +118,8 @@
 	/// \brief Records a request that is sent to a replica, limited or not.
 	void record_sent(const replica& target, instant now);
 
-	/// \brief Time until this VM may send a request to one of the limited replicas of a service; none: none
-	/// of them is limited.
+	/// \brief Time until this VM may send a request to one of the limited replicas of a service; none: no
+	/// replica of the service is limited.
 	[[nodiscard]] std::optional<duration> time_until_allowed(const service_id& service, instant now) const;
 
 	/// \brief Number of replicas that announce a limit.
@@ -142,7 +143,7 @@
 		instant next_due_at;
 	};
 
-	/// A limit that this VM found to be removed.
+	/// A limit whose removal this VM learned from a response.
 	struct removed_limit
 	{
 		replica_incarnation incarnation;
--- a/include/gingerdyke/routing/backoff_periods.hpp
+++ b/include/gingerdyke/routing/backoff_periods.hpp
@@ -19,18 +19,19 @@
 	/// replica out of use for hours.
 	duration max_length = std::chrono::minutes{10};
 
-	/// VMs resume sending over this part of the period after its end, but over no longer than the time
-	/// below: if all resumed at the same moment, they would overload the replica again.
+	/// VMs resume sending at times spread over this part of the period's length after its end, but over no
+	/// longer than `max_resume_spread`: if all resumed at the same moment, they would overload the replica
+	/// again.
 	double resume_spread = 0.1;
 	duration max_resume_spread = std::chrono::seconds{1};
 
-	/// After the period, one request is sent first. If it gets no response for this long, another one is
-	/// sent. The first byte of a response from a busy replica takes about this long.
+	/// After the period, each VM sends one request first. If it gets no response within this time, the VM
+	/// sends another one. The first byte of a response from a busy replica takes about this long.
 	duration response_timeout = std::chrono::seconds{2};
 };
 
-/// \brief Tracks which replicas are in a back-off period, and until when. If several were requested, the
-/// latest end counts.
+/// \brief Tracks which replicas are in a back-off period, and until when. If a replica requests several
+/// periods, the latest end counts.
 class backoff_periods
 {
   public:
@@ -47,8 +48,8 @@
 	/// \param request Id of the request that the replica refused, for the log.
 	void record_backoff(const replica& sender, duration length, const std::string& request, instant now);
 
-	/// \brief Records a response without a back-off request: if it answers a request sent after the period,
-	/// the replica accepts all requests again.
+	/// \brief Records a response that requests no back-off period. If its request was sent after the period,
+	/// the replica gets all requests again.
 	/// \param sent_at When the request that got this response was sent.
 	void record_response(const replica& sender, instant sent_at);
 
@@ -62,8 +63,8 @@
 	/// and the first request after one is not still waiting for its response.
 	[[nodiscard]] bool allows_request(const replica& target, instant now) const;
 
-	/// \brief Time until the first of a service's replicas leaves its back-off period; none: none of them
-	/// is in one.
+	/// \brief Time until the first back-off period of a service's replicas ends; none: no replica is in
+	/// one.
 	[[nodiscard]] std::optional<duration> time_until_resumed(const service_id& service, instant now) const;
 
 	/// \brief Drops the state of a replica that is gone or has restarted.
--- a/include/gingerdyke/routing/catalog.hpp
+++ b/include/gingerdyke/routing/catalog.hpp
@@ -35,7 +35,7 @@
 	/// Begins and ends with a slash.
 	std::string path_prefix;
 
-	/// Requests are idempotent: one may be executed more than once.
+	/// Requests are idempotent: the same request may be executed more than once.
 	bool repeatable{};
 
 	/// The response is a stream of server-sent events.
@@ -193,6 +193,6 @@
 using catalog_ptr = std::shared_ptr<const catalog>;
 
 /// \brief Picks the service that a request of a route goes to, in proportion to the weights.
-/// \param hash Hash of what must stay together, such as the session; equal hashes pick the same service.
+/// \param hash Hash of the key whose requests must go to the same service, such as the session id.
 [[nodiscard]] const service_id& pick_service(const route& route, std::uint64_t hash);
 } // namespace gingerdyke::routing
--- a/include/gingerdyke/routing/first_token_estimator.hpp
+++ b/include/gingerdyke/routing/first_token_estimator.hpp
@@ -18,15 +18,16 @@
 	/// Weight of that assumption relative to observed responses, as response time: that of one long prompt.
 	duration assumption_weight = std::chrono::milliseconds{1000};
 
-	/// Half-life of an observed response's weight; a VM sees 10 to 20 responses of the largest model in it.
+	/// Half-life of an observed response's weight; a VM sees 10 to 20 responses of the largest model in
+	/// that time.
 	/// The decay is by time rather than by the number of responses, because an estimate so high that
 	/// nothing is sent any more would otherwise never recover.
 	duration half_life = std::chrono::seconds{10};
 };
 
-/// \brief Predicts the time to first token from the queued work, both as observed by the router. The effect
-/// of what the router does not see (work of other VMs that is reported late, generated tokens) is part of
-/// the learned ratio.
+/// \brief Predicts the time to first token from the queued work, using the ratio of the two in the
+/// responses that this VM observed. The effect of what this VM does not see (work of other VMs that is
+/// reported late, generated tokens) is part of that ratio.
 class first_token_estimator
 {
   public:
--- a/include/gingerdyke/routing/fleet_list.hpp
+++ b/include/gingerdyke/routing/fleet_list.hpp
@@ -43,7 +43,7 @@
 	/// \brief Whether the list was recently confirmed to be the newest.
 	[[nodiscard]] bool is_fresh(instant now) const;
 
-	/// \brief Whether every other VM whose list is fresh has this VM on it.
+	/// \brief Whether the list of every other VM, if fresh, contains this VM.
 	[[nodiscard]] bool is_known_to_others(instant now) const;
 
 	[[nodiscard]] std::size_t size() const noexcept { return members_.size(); }
@@ -69,7 +69,7 @@
 	std::uint64_t generation_{};
 	member self_;
 
-	/// When this VM was first seen on the list; none: it is not on it.
+	/// When this VM was first seen on the list; none: the list does not contain it.
 	std::optional<instant> listed_at_;
 	std::optional<instant> confirmed_at_;
 };
--- a/include/gingerdyke/routing/replica_selector.hpp
+++ b/include/gingerdyke/routing/replica_selector.hpp
@@ -21,8 +21,9 @@
 	unsigned local_samples = 6;
 	unsigned global_samples = 3;
 
-	/// Affinity is given up if another replica has less work by this many prompt tokens, as processed by
-	/// the request's model, plus those of the shared prefix that it would have to process again. With a
+	/// The replica preferred by affinity is not used if another replica has less work by this many prompt
+	/// tokens, as processed by the request's model, plus those of the shared prefix that the other replica
+	/// would have to process again. With a
 	/// smaller margin, small changes of load make engines process shared prefixes again; with a larger one,
 	/// requests queue while other engines are idle.
 	double affinity_margin = 28000;
@@ -32,7 +33,7 @@
 	double cross_domain_work = 3000;
 
 	/// For models that take less than this share of the largest model's time, the preferred replica of this
-	/// VM's own failure domain is considered too: to process their shared prefixes once in each failure
+	/// VM's own failure domain is considered too: processing their shared prefixes once in each failure
 	/// domain costs little. For the largest model, processing them again would take longer than the
 	/// cross-domain round trip.
 	double local_affinity_below = 0.5;
@@ -64,7 +65,8 @@
 	std::size_t unreachable_domain_replicas = 2;
 	duration unreachable_domain_window = std::chrono::milliseconds{1500};
 
-	/// If fewer than this share of a service's replicas remain after ejection, ejections are ignored.
+	/// Ejections are ignored if less than this share of a service's eligible replicas in reachable failure
+	/// domains would remain.
 	double min_available_share = 0.5;
 
 	/// Cost added to a replica of another failure domain: one round trip between the failure domains of the
@@ -75,13 +77,13 @@
 	duration assumed_response_time = std::chrono::milliseconds{30};
 };
 
-/// \brief Outcome of an attempt at a replica, as far as it tells about the replica.
+/// \brief Outcome of an attempt at a replica, as far as it shows the replica's state.
 enum class replica_result
 {
 	answered,
-	/// It answered with an error.
+	/// The replica responded with an error.
 	failed,
-	/// It refused the request because it is at capacity.
+	/// The replica refused the request because it is at capacity.
 	refused,
 	/// No response: the connection was reset, or timed out.
 	no_response,
@@ -109,7 +111,7 @@
 	/// Work of processing the shared prefix again, in prompt tokens as processed by the largest model.
 	double shared_work{};
 
-	/// Compute time of the requested model relative to the largest one.
+	/// Compute time of the requested model relative to the largest model.
 	double model_weight{1};
 
 	/// Replicas are model engines: the choice is by outstanding work instead of the number of requests.
@@ -132,8 +134,8 @@
 	/// \brief Chooses a replica, or returns null if none is eligible.
 	[[nodiscard]] replica_ptr choose(const selection& request, instant now) const;
 
-	/// \brief Records a request sent to a replica. Like the functions below, it ignores calls for a replica
-	/// process that is gone or has restarted since.
+	/// \brief Records a request sent to a replica. This and the other `record_` functions ignore calls for a
+	/// replica process that is gone or has restarted since.
 	/// \param tokens Size of the work in prompt tokens; 0 for services that are not engines.
 	void record_sent(const replica& target, double tokens);
 
@@ -176,7 +178,7 @@
 		double mean_response_us{};
 	};
 
-	/// What the latest attempts tell about a failure domain as a whole.
+	/// State of a failure domain as a whole, derived from the latest attempts.
 	struct domain_state
 	{
 		/// Replicas that failed without a response since the last response from the failure domain, and
--- a/include/gingerdyke/routing/replica_set.hpp
+++ b/include/gingerdyke/routing/replica_set.hpp
@@ -14,8 +14,8 @@
 
 namespace gingerdyke::routing
 {
-/// \brief Distinguishes processes of a replica that had the same id one after another; values are not
-/// ordered. 0: unknown.
+/// \brief Distinguishes the successive processes under the same replica id; values are not ordered. 0:
+/// unknown.
 using replica_incarnation = quantity<struct replica_incarnation_tag>;
 
 /// \brief A replica as its registry entry describes it.
@@ -33,16 +33,16 @@
 	/// Maximum number of concurrent requests.
 	unsigned slots{};
 
-	/// It is draining: it accepts no new requests and will exit.
-	bool leaving{};
+	/// The replica accepts no new requests and will exit.
+	bool is_draining{};
 
-	/// Remaining warm-up time, as of when its entry was written; none: its entry has none.
+	/// Remaining warm-up time when the entry was written; none: the entry does not state one.
 	std::optional<duration> remaining_warmup;
 
 	auto operator<=>(const replica&) const = default;
 
-	/// \brief Whether both are the same process. After a restart under the same id a replica has nothing of
-	/// its previous state.
+	/// \brief Whether both entries describe the same process. After a restart under the same id a replica
+	/// has nothing of its previous state.
 	[[nodiscard]] bool is_same_process(const replica& other) const noexcept
 	{
 		return id == other.id && incarnation == other.incarnation;
@@ -59,13 +59,13 @@
 {
 	added,
 	changed,
-	/// Only the remaining warm-up time in its entry changed, as with every heartbeat of a cold replica.
+	/// Only the remaining warm-up time in the entry changed, as with every heartbeat of a cold replica.
 	remaining_warmup_changed,
-	/// It restarted under the same id.
+	/// The replica restarted under the same id.
 	restarted,
-	leaving,
-	/// Its entry is missing while the registry is unavailable or only just back: it is kept until the
-	/// registry has had time to recover.
+	draining,
+	/// The entry is missing while the registry is unavailable or only just back: the replica is kept until
+	/// the registry has had time to recover.
 	suspected,
 	gone,
 };
@@ -76,18 +76,18 @@
 /// \brief Tuning of `replica_set`.
 struct replica_set_tuning
 {
-	/// Entries that expired during a registry outage are back within this time of its end. Users specify
-	/// about two seconds.
+	/// Entries that expired during a registry outage are registered again within this time after its end.
+	/// Users specify about two seconds.
 	duration reregistration_time = std::chrono::milliseconds{2200};
 
 	/// Replicas whose entries are missing get no requests as long as they are at most this share of their
-	/// service's replicas. If more are missing, a registry outage is the more likely cause, and the other
-	/// replicas would be overloaded.
+	/// service's replicas. If more are missing, a registry outage is the more likely cause, and excluding
+	/// these replicas would overload the others.
 	double max_excluded_share = 0.5;
 
-	/// How long a replica's announcement that it is leaving is kept while its entry is missing: longer than
-	/// a leaving replica keeps serving, and longer than entries are missing in an outage.
-	duration leaving_lifetime = std::chrono::minutes{5};
+	/// How long a replica's announcement that it is draining is kept while its entry is missing: longer than
+	/// a draining replica keeps serving, and longer than entries are missing in an outage.
+	duration drain_announcement_lifetime = std::chrono::minutes{5};
 };
 
 /// \brief Tracks the replicas of the registry. Entries that vanish while the registry is unavailable do not
@@ -112,18 +112,18 @@
 	void mark_registry_unavailable(instant now);
 
 	/// \brief Records that the registry answered.
-	/// \param at When it did; earlier than now if the snapshot comes from another VM.
+	/// \param at When the registry answered; in the past if the snapshot comes from another VM.
 	void mark_registry_available(instant at);
 
-	/// \brief Records a replica's own announcement that it is leaving. It holds until the process has
-	/// exited, whatever its entry says.
+	/// \brief Records a replica's own announcement that it is draining. The announcement applies until the
+	/// process has exited, whatever the replica's entry says.
 	/// \returns Whether the announcement was not known before.
-	bool mark_leaving(const replica& target, instant now);
+	bool mark_draining(const replica& target, instant now);
 
 	/// \brief Removes a replica because the process at its address answered that it is a different replica.
 	void forget(const replica_id& id);
 
-	/// \brief Removes suspected replicas whose time is over.
+	/// \brief Removes suspected replicas whose entries did not return in time.
 	/// \returns When this must be called next; none: not before the next change.
 	std::optional<instant> expire(instant now);
 
@@ -131,20 +131,20 @@
 	/// replicas have their entries.
 	[[nodiscard]] bool excludes_suspected(const service_id& service) const;
 
-	/// \brief Whether a replica may be sent new requests: it is known as this process, is not leaving, and
-	/// is not excluded.
+	/// \brief Whether a replica may be sent new requests: this process of it is the
+	/// current one, is not draining, and is not excluded as suspected.
 	[[nodiscard]] bool accepts_requests(const replica& target) const;
 
 	/// \brief Whether the given process is the current one of its replica id.
 	[[nodiscard]] bool is_current(const replica& target) const;
 
-	/// \brief Returns the replicas of a service, including leaving ones.
+	/// \brief Returns the replicas of a service, including draining ones.
 	[[nodiscard]] const std::vector<replica_ptr>& of_service(const service_id& service) const;
 
 	/// \brief Finds a replica by its id, or null.
 	[[nodiscard]] replica_ptr find(const replica_id& id) const;
 
-	/// \brief Returns the replicas of all services, including leaving ones.
+	/// \brief Returns the replicas of all services, including draining ones.
 	[[nodiscard]] std::vector<replica_ptr> all() const;
 
 	[[nodiscard]] std::size_t size() const noexcept { return by_id_.size(); }
@@ -167,8 +167,8 @@
 	void index(const replica_ptr& entry);
 	void unindex(const replica_ptr& entry);
 
-	/// A replica's own announcement that it is leaving.
-	struct leave_announcement
+	/// A replica's own announcement that it is draining.
+	struct drain_announcement
 	{
 		replica_incarnation incarnation;
 		instant at;
@@ -190,6 +190,6 @@
 	/// restarted with each loss of the registry would never be reached if the registry is lost every two
 	/// seconds, and requests would go to replicas that left long ago.
 	std::map<replica_id, duration> suspected_;
-	std::map<replica_id, leave_announcement> leave_announcements_;
+	std::map<replica_id, drain_announcement> drain_announcements_;
 };
 } // namespace gingerdyke::routing
--- a/include/gingerdyke/routing/size_policy.hpp
+++ b/include/gingerdyke/routing/size_policy.hpp
@@ -13,9 +13,9 @@
 struct size_tuning
 {
 	/// A response with less confidence than this (0 to 100) is discarded in favour of the largest model's
-	/// if that would begin immediately. With a lower value, clients get responses to requests that were too
-	/// hard for the small model; with a higher one, the largest model's prompts fill the engines' queues
-	/// and delay all requests.
+	/// response if the latter would begin immediately. With a lower value, clients get responses to requests
+	/// that were too hard for the small model; with a higher one, the largest model's prompts fill the
+	/// engines' queues and delay all requests.
 	double escalate_below = 60;
 
 	/// The larger model's expected first token, counted from the arrival of the request, in multiples of
@@ -33,7 +33,7 @@
 	/// Index in the route's list of models.
 	std::size_t index{};
 
-	/// Its response may be discarded in favour of a larger model's.
+	/// The response may be discarded in favour of a larger model's.
 	bool may_escalate{};
 };
 
@@ -51,7 +51,7 @@
 	}
 
 	/// \brief Returns the model to use after a discarded response, or none if the step used the largest
-	/// one.
+	/// model.
 	[[nodiscard]] static std::optional<size_step> after(const route& route, const size_step& step)
 	{
 		if (step.index + 1 >= route.models.size())
--- a/include/gingerdyke/routing/slow_start.hpp
+++ b/include/gingerdyke/routing/slow_start.hpp
@@ -17,13 +17,13 @@
 /// \brief Why a replica is considered cold.
 enum class cold_reason
 {
-	/// Its entry says so.
+	/// The replica's entry states a remaining warm-up time.
 	announced,
-	/// It has started, and its entry does not say how long it is cold.
+	/// The replica has started, and its entry does not state a remaining warm-up time.
 	started,
-	/// A connection to it failed: its process may have restarted since its entry was read.
+	/// A connection to the replica failed: its process may have restarted since its entry was read.
 	unreachable,
-	/// Its failure domain was evacuated and got no requests for a while.
+	/// The replica's failure domain was evacuated and got no requests for a while.
 	evacuated,
 };
 
@@ -79,7 +79,7 @@
 	/// to be established first.
 	void update_sent_time(const replica& target, instant sent_at, instant now);
 
-	/// \brief Time until the first of a service's cold replicas is warm; none: none of them is cold.
+	/// \brief Time until the first of a service's cold replicas is warm; none: no replica is cold.
 	[[nodiscard]] std::optional<duration> time_until_warm(const service_id& service, instant now) const;
 
 	/// \brief Number of cold replicas.
--- a/src/limits/workspace_limiter.cpp
+++ b/src/limits/workspace_limiter.cpp
@@ -7,7 +7,8 @@
 {
 namespace
 {
-/// Burst in seconds of the workspace's rate, available after a pause.
+/// Burst that is available after a pause, as the number of seconds in which it accumulates at this VM's
+/// rate.
 constexpr double burst_seconds = 2.0;
 constexpr double min_burst = 1.0;
 } // namespace
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -250,7 +250,7 @@
 	const bool is_evacuated = std::any_of(all.begin(), all.end(),
 		[this](const auto& instance) { return evacuated_domains_.contains(instance->domain); });
 	const bool all_draining = !all.empty() && std::all_of(all.begin(), all.end(),
-												  [](const auto& instance) { return instance->leaving; });
+												  [](const auto& instance) { return instance->is_draining; });
 	const auto* reason = is_evacuated   ? "failure domains are evacuated"
 						 : all_draining ? "all replicas leave"
 										: "no replica";
@@ -353,7 +353,7 @@
 
 void gateway::record_draining(const routing::replica& from, const std::string& request)
 {
-	if (replicas_.mark_leaving(from, steady_now()))
+	if (replicas_.mark_draining(from, steady_now()))
 	{
 		log::write(log::level::info, "replica announced draining",
 			{{"replica", from.id.str()}, {"service", from.service.str()}, {"request", request}});
@@ -477,7 +477,7 @@
 		selector_.forget(instance.id);
 		exit_detector_.runs().remove_entry(instance.id, steady_now());
 	}
-	if (change == routing::replica_change::leaving)
+	if (change == routing::replica_change::draining)
 	{
 		pool_.close_idle_connections(instance.id);
 	}
--- a/src/quarantine/suspect_list.cpp
+++ b/src/quarantine/suspect_list.cpp
@@ -70,9 +70,10 @@
 	return exits >= tuning_.quarantine_exits && exits > tuning_.min_exits_per_completion * completions;
 }
 
-/// A simultaneous loss of many replicas leaves requests that were running on one or two of them: storing
-/// these would cost writes and is hardly evidence. If a request caused several simultaneous exits at VMs of
-/// two failure domains, each domain knows only half of them, and only the registry merges the halves.
+/// After a simultaneous loss of many replicas, requests that were running on one or two of them are not
+/// stored: storing them would cost writes, and these exits are hardly evidence. If a request caused several
+/// simultaneous exits at VMs of two failure domains, each domain knows only half of them, and only the
+/// registry merges the halves.
 bool suspect_list::is_worth_storing(const entry& suspect, bool for_others) const
 {
 	const auto weight = weight_of(suspect.known);
--- a/src/routing/announced_limits.cpp
+++ b/src/routing/announced_limits.cpp
@@ -9,8 +9,8 @@
 {
 namespace
 {
-/// Lower limits, also 0, are raised to this many requests per second: some request has to find out that the
-/// overload is over.
+/// Lower limits, including 0, are raised to this many requests per second: only the response to a request
+/// shows that the overload is over.
 constexpr double min_limit = 0.05;
 
 duration to_duration(double seconds)
--- a/src/routing/replica_selector.cpp
+++ b/src/routing/replica_selector.cpp
@@ -30,13 +30,13 @@
 	candidates available;
 	candidates reachable;
 	candidates unreachable;
-	// A replica that removes its registry entry without having announced that it drains shows only by the
-	// missing entry.
+	// If a replica removes its registry entry without having announced that it is draining, the missing
+	// entry is the only sign that it will exit.
 	const bool excludes_suspected = replicas_.excludes_suspected(request.service);
 	for (const auto& candidate : replicas_.of_service(request.service))
 	{
 		const bool is_excluded = excludes_suspected && replicas_.is_suspected(candidate->id);
-		if (candidate->leaving || is_excluded || !request.usable(*candidate))
+		if (candidate->is_draining || is_excluded || !request.usable(*candidate))
 		{
 			continue;
 		}
@@ -56,8 +56,8 @@
 	{
 		return unreachable;
 	}
-	// If most replicas look bad, they more likely have a common cause: ejecting them would only overload
-	// the others.
+	// If most replicas fail, the failures more likely have a common cause: ejecting the replicas would only
+	// overload the others.
 	const auto min_available = tuning_.min_available_share * static_cast<double>(reachable.size());
 	return static_cast<double>(available.size()) < min_available ? reachable : available;
 }
@@ -290,8 +290,8 @@
 	++stats.ejections;
 	ejected_(target.id, stats.failure_rate, capped);
 	stats.ejected_until = now + capped;
-	// After the ejection the replica is on probation: one more failure ejects it again, a response clears
-	// it.
+	// After the ejection the replica is on probation: one more failure ejects it again, a response ends
+	// the probation.
 	stats.consecutive_failures = tuning_.ejection_failures - 1;
 	stats.failure_rate = std::min(stats.failure_rate, tuning_.ejection_rate);
 }
--- a/src/routing/replica_set.cpp
+++ b/src/routing/replica_set.cpp
@@ -24,7 +24,7 @@
 		return "cold time";
 	case replica_change::restarted:
 		return "restarted";
-	case replica_change::leaving:
+	case replica_change::draining:
 		return "leaving";
 	case replica_change::suspected:
 		return "suspected";
@@ -42,13 +42,13 @@
 	{
 		return replica_change::restarted;
 	}
-	if (now.leaving && !before.leaving)
+	if (now.is_draining && !before.is_draining)
 	{
-		return replica_change::leaving;
+		return replica_change::draining;
 	}
-	auto with_old_cold_time = now;
-	with_old_cold_time.remaining_warmup = before.remaining_warmup;
-	return with_old_cold_time == before ? replica_change::remaining_warmup_changed : replica_change::changed;
+	auto with_old_warmup = now;
+	with_old_warmup.remaining_warmup = before.remaining_warmup;
+	return with_old_warmup == before ? replica_change::remaining_warmup_changed : replica_change::changed;
 }
 } // namespace
 
@@ -61,10 +61,10 @@
 {
 	suspected_.erase(entry.id);
 	drop_old_announcements(now);
-	const auto announced = leave_announcements_.find(entry.id);
-	if (announced != leave_announcements_.end() && announced->second.incarnation == entry.incarnation)
+	const auto announced = drain_announcements_.find(entry.id);
+	if (announced != drain_announcements_.end() && announced->second.incarnation == entry.incarnation)
 	{
-		entry.leaving = true;
+		entry.is_draining = true;
 	}
 	const auto current = find(entry.id);
 	if (current && *current == entry)
@@ -86,31 +86,34 @@
 	changed_(*stored, change);
 }
 
-bool replica_set::mark_leaving(const replica& target, instant now)
+bool replica_set::mark_draining(const replica& target, instant now)
 {
 	const auto current = find(target.id);
 	const bool is_previous_process = current && !current->is_same_process(target);
-	const auto announced = leave_announcements_.find(target.id);
+	const auto announced = drain_announcements_.find(target.id);
 	const bool is_already_announced =
-		announced != leave_announcements_.end() && announced->second.incarnation == target.incarnation;
+		announced != drain_announcements_.end() && announced->second.incarnation == target.incarnation;
 	if (is_previous_process || is_already_announced)
 	{
 		return false;
 	}
-	leave_announcements_[target.id] = {target.incarnation, now};
-	if (current && !current->leaving)
+	drain_announcements_[target.id] = {target.incarnation, now};
+	if (current && !current->is_draining)
 	{
 		auto entry = *current;
-		entry.leaving = true;
-		replace(current, std::move(entry), replica_change::leaving);
+		entry.is_draining = true;
+		replace(current, std::move(entry), replica_change::draining);
 	}
 	return true;
 }
 
 void replica_set::drop_old_announcements(instant now)
 {
-	std::erase_if(leave_announcements_, [&](const auto& entry)
-		{ return !by_id_.contains(entry.first) && now - entry.second.at > tuning_.leaving_lifetime; });
+	std::erase_if(drain_announcements_,
+		[&](const auto& entry) {
+			return !by_id_.contains(entry.first) &&
+				   now - entry.second.at > tuning_.drain_announcement_lifetime;
+		});
 }
 
 void replica_set::remove(const replica_id& id, instant now)
@@ -120,7 +123,7 @@
 	{
 		return;
 	}
-	if (is_registry_stable(now) || current->leaving)
+	if (is_registry_stable(now) || current->is_draining)
 	{
 		drop(id);
 		return;
@@ -169,7 +172,7 @@
 	if (!is_registry_available_)
 	{
 		is_registry_available_ = true;
-		// An answer from before the loss does not show that the registry is back.
+		// A response from before the registry was lost does not show that it is available again.
 		registry_up_since_ = std::max(at, registry_down_since_);
 	}
 }
@@ -247,7 +250,7 @@
 bool replica_set::accepts_requests(const replica& target) const
 {
 	const auto current = find(target.id);
-	if (!current || current->leaving || !current->is_same_process(target))
+	if (!current || current->is_draining || !current->is_same_process(target))
 	{
 		return false;
 	}
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -131,10 +131,10 @@
 		return;
 	}
 	auto& sent = found->second.sent;
-	const auto noted = std::find(sent.begin(), sent.end(), sent_at);
-	if (noted != sent.end())
+	const auto recorded = std::find(sent.begin(), sent.end(), sent_at);
+	if (recorded != sent.end())
 	{
-		sent.erase(noted);
+		sent.erase(recorded);
 		sent.push_back(now);
 	}
 }
--- a/tests/platform/platform.cpp
+++ b/tests/platform/platform.cpp
@@ -163,7 +163,7 @@
 	world.run_until([&] { return world.gateway().catalog()->version().value() == 4; });
 	registry.put("op", "config", configuration(3, "/old/"));
 	registry.put("servers", "i-1", replica("v1", "draining"));
-	world.run_until([&] { return world.gateway().replicas().find(replica_id{"i-1"})->leaving; });
+	world.run_until([&] { return world.gateway().replicas().find(replica_id{"i-1"})->is_draining; });
 	CHECK(world.gateway().catalog()->version().value() == 4);
 
 	registry.put("servers", "i-2", replica());
--- a/tests/platform/replica_entries.cpp
+++ b/tests/platform/replica_entries.cpp
@@ -35,7 +35,7 @@
 	CHECK(read->domain.str() == "a");
 	CHECK(read->version == "v1");
 	CHECK(read->slots == 64);
-	CHECK_FALSE(read->leaving);
+	CHECK_FALSE(read->is_draining);
 	CHECK(read->incarnation.value() == 1780000000123);
 	auto without_born = valid_row();
 	without_born.erase("born");
@@ -94,7 +94,7 @@
 {
 	auto entry = valid_row();
 	entry["state"] = "draining";
-	CHECK(platform::read_replica(row_of(entry.dump()))->leaving);
+	CHECK(platform::read_replica(row_of(entry.dump()))->is_draining);
 	for (const auto* state : {"paused", "READY", "starting", "ready "})
 	{
 		entry["state"] = state;
--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -170,7 +170,7 @@
 		[&](std::size_t index)
 		{
 			auto draining = *world.gateway().replicas().find(replica_id{"r" + std::to_string(index)});
-			draining.leaving = true;
+			draining.is_draining = true;
 			world.gateway().replicas().put(draining, proxy::steady_now());
 		});
 	for (std::size_t asked = 1; asked <= 5; ++asked)
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -385,7 +385,7 @@
 	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.start({{"plain", &replica}});
 	auto draining = *world.gateway().replicas().of_service(service_id{"plain"}).front();
-	draining.leaving = true;
+	draining.is_draining = true;
 	world.gateway().replicas().put(draining, proxy::steady_now());
 	CHECK(world.ask(request_to("POST", "/unsafe/a", "body")).starts_with("HTTP/1.1 503 "));
 	CHECK(replica.requests().empty());
@@ -412,7 +412,7 @@
 	SECTION("it states that it is draining")
 	{
 		auto draining = *gateway.replicas().find(id);
-		draining.leaving = true;
+		draining.is_draining = true;
 		gateway.replicas().put(draining, proxy::steady_now());
 	}
 	SECTION("its entry is removed")
--- a/tests/routing/leaving_replica.cpp
+++ b/tests/routing/leaving_replica.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A replica's own announcement that it is leaving, whatever the registry says before and after.
+// A replica's own announcement that it is draining, whatever the registry says before and after.
 #include "../support/replicas.hpp"
 
 #include <catch2/catch.hpp>
@@ -14,11 +14,11 @@
 
 namespace
 {
-replica make_process(std::int64_t incarnation, bool leaving = false)
+replica make_process(std::int64_t incarnation, bool is_draining = false)
 {
 	auto created = make_replica("r1");
 	created.incarnation = replica_incarnation{incarnation};
-	created.leaving = leaving;
+	created.is_draining = is_draining;
 	return created;
 }
 
@@ -49,7 +49,7 @@
 }
 } // namespace
 
-TEST_CASE("a replica that announced that it is leaving gets no requests, whatever the registry says",
+TEST_CASE("a replica that announced that it is draining gets no requests, whatever the registry says",
 	"[routing][leaving]")
 {
 	for (std::uint64_t seed = 1; seed <= 200; ++seed)
@@ -65,7 +65,7 @@
 			apply_random_update(set, random, at(elapsed));
 			if (i == announced_at)
 			{
-				set.mark_leaving(make_process(1), at(elapsed));
+				set.mark_draining(make_process(1), at(elapsed));
 			}
 			if (i >= announced_at)
 			{
@@ -81,15 +81,15 @@
 {
 	replica_set set{[](const replica&, replica_change) {}};
 	set.put(make_process(2), at(milliseconds{0}));
-	CHECK_FALSE(set.mark_leaving(make_process(1), at(milliseconds{1})));
+	CHECK_FALSE(set.mark_draining(make_process(1), at(milliseconds{1})));
 	CHECK(set.accepts_requests(make_process(2)));
 }
 
 TEST_CASE("announcements of replicas that are gone expire", "[routing][leaving]")
 {
 	replica_set set{[](const replica&, replica_change) {}};
-	CHECK(set.mark_leaving(make_process(1), at(milliseconds{0})));
-	CHECK_FALSE(set.mark_leaving(make_process(1), at(milliseconds{1})));
+	CHECK(set.mark_draining(make_process(1), at(milliseconds{0})));
+	CHECK_FALSE(set.mark_draining(make_process(1), at(milliseconds{1})));
 	set.put(make_replica("r2"), at(minutes{6}));
-	CHECK(set.mark_leaving(make_process(1), at(minutes{6})));
+	CHECK(set.mark_draining(make_process(1), at(minutes{6})));
 }
--- a/tests/routing/restarted_replica.cpp
+++ b/tests/routing/restarted_replica.cpp
@@ -160,9 +160,9 @@
 	cold.remaining_warmup = milliseconds{0};
 	cold.slots = 7;
 	fixture.set.put(cold, at(milliseconds{2400}));
-	cold.leaving = true;
+	cold.is_draining = true;
 	cold.remaining_warmup = milliseconds{900};
 	fixture.set.put(cold, at(milliseconds{3600}));
 	CHECK(fixture.changes.at(2) == replica_change::changed);
-	CHECK(fixture.changes.at(3) == replica_change::leaving);
+	CHECK(fixture.changes.at(3) == replica_change::draining);
 }
--- a/tests/routing/routing.cpp
+++ b/tests/routing/routing.cpp
@@ -111,15 +111,15 @@
 	}
 }
 
-TEST_CASE("a leaving replica is not kept during an outage", "[replicas]")
+TEST_CASE("a draining replica is not kept during an outage", "[replicas]")
 {
 	replica_fixture fixture;
-	auto leaving = make_replica("a");
-	leaving.leaving = true;
-	fixture.set.put(leaving, at(milliseconds{0}));
+	auto draining = make_replica("a");
+	draining.is_draining = true;
+	fixture.set.put(draining, at(milliseconds{0}));
 	fixture.set.mark_registry_unavailable(at(milliseconds{100}));
 	fixture.set.remove(replica_id{"a"}, at(milliseconds{200}));
-	CHECK(fixture.changes == std::vector{replica_change::leaving, replica_change::gone});
+	CHECK(fixture.changes == std::vector{replica_change::draining, replica_change::gone});
 }
 
 TEST_CASE("additional attempts stay within the ratio of requests", "[budget]")
--- a/tests/routing/slow_start.cpp
+++ b/tests/routing/slow_start.cpp
@@ -32,10 +32,10 @@
 	slow_start cold{vms, [](const replica&, cold_reason, duration) {}};
 };
 
-replica cold_replica(milliseconds left)
+replica cold_replica(milliseconds remaining)
 {
 	auto created = make_replica("r1");
-	created.remaining_warmup = left;
+	created.remaining_warmup = remaining;
 	return created;
 }
 
