--- a/include/gingerdyke/quarantine/suspect_list.hpp
+++ b/include/gingerdyke/quarantine/suspect_list.hpp
@@ -152,7 +152,9 @@
   private:
 	struct entry
 	{
-		suspicion known;
+		suspicion evidence;
+
+		/// The part of the evidence that is in the registry, as far as this VM knows.
 		suspicion stored;
 
 		/// Processes whose exit is presumed but not yet confirmed.
@@ -160,7 +162,7 @@
 		instant last_exit;
 		instant changed_at;
 
-		/// A replica to which this VM had sent the request exited while running it.
+		/// Whether a replica to which this VM had sent the request exited while running it.
 		bool is_seen_here{};
 		bool is_quarantine_reported{};
 	};
@@ -169,15 +171,15 @@
 
 	[[nodiscard]] const entry* find(const request_key& key, instant now) const;
 	[[nodiscard]] bool has_other_cause(
-		const std::set<process_instance>& simultaneous, const suspicion& known) const;
+		const std::set<process_instance>& simultaneous, const suspicion& evidence) const;
 	/// Whether VMs of another failure domain may know as many exits that the request caused. This is so if,
 	/// for each exit, the processes that exited at the same time without running the request are no more
 	/// than those that exited while running it.
-	[[nodiscard]] bool may_be_half_known(const suspicion& known) const;
-	[[nodiscard]] double weight_of(const suspicion& known) const;
-	[[nodiscard]] bool exceeds_threshold(const suspicion& known, std::size_t additional_exits) const;
+	[[nodiscard]] bool may_be_partial(const suspicion& evidence) const;
+	[[nodiscard]] double weight_of(const suspicion& evidence) const;
+	[[nodiscard]] bool exceeds_threshold(const suspicion& evidence, std::size_t additional_exits) const;
 	[[nodiscard]] bool add_simultaneous(
-		suspicion& known, const std::vector<process_instance>& processes) const;
+		suspicion& evidence, const std::vector<process_instance>& processes) const;
 	[[nodiscard]] bool is_worth_storing(const entry& suspect, bool for_others) const;
 	entry& find_or_add(const request_key& key, instant now);
 	void add_exit(
--- a/src/quarantine/suspect_list.cpp
+++ b/src/quarantine/suspect_list.cpp
@@ -33,40 +33,41 @@
 namespace
 {
 /// Number of processes among those that exited at the same time that were not running the request.
-std::size_t count_unrelated(const std::set<process_instance>& simultaneous, const suspicion& known)
+std::size_t count_unrelated(const std::set<process_instance>& simultaneous, const suspicion& evidence)
 {
 	return static_cast<std::size_t>(std::count_if(simultaneous.begin(), simultaneous.end(),
-		[&](process_instance process) { return !known.ended.contains(process); }));
+		[&](process_instance process) { return !evidence.ended.contains(process); }));
 }
 } // namespace
 
 bool suspect_list::has_other_cause(
-	const std::set<process_instance>& simultaneous, const suspicion& known) const
+	const std::set<process_instance>& simultaneous, const suspicion& evidence) const
 {
-	return count_unrelated(simultaneous, known) >= tuning_.min_unrelated;
+	return count_unrelated(simultaneous, evidence) >= tuning_.min_unrelated;
 }
 
-bool suspect_list::may_be_half_known(const suspicion& known) const
+bool suspect_list::may_be_partial(const suspicion& evidence) const
 {
-	return known.ended.size() > 1 &&
-		   std::all_of(known.ended.begin(), known.ended.end(),
-			   [&](const auto& exit) { return count_unrelated(exit.second, known) <= known.ended.size(); });
+	return evidence.ended.size() > 1 &&
+		   std::all_of(evidence.ended.begin(), evidence.ended.end(),
+			   [&](const auto& exit)
+			   { return count_unrelated(exit.second, evidence) <= evidence.ended.size(); });
 }
 
-double suspect_list::weight_of(const suspicion& known) const
+double suspect_list::weight_of(const suspicion& evidence) const
 {
 	double weight = 0;
-	for (const auto& [process, simultaneous] : known.ended)
+	for (const auto& [process, simultaneous] : evidence.ended)
 	{
-		weight += has_other_cause(simultaneous, known) ? tuning_.simultaneous_weight : 1;
+		weight += has_other_cause(simultaneous, evidence) ? tuning_.simultaneous_weight : 1;
 	}
 	return weight;
 }
 
-bool suspect_list::exceeds_threshold(const suspicion& known, std::size_t additional_exits) const
+bool suspect_list::exceeds_threshold(const suspicion& evidence, std::size_t additional_exits) const
 {
-	const auto exits = weight_of(known) + static_cast<double>(additional_exits);
-	const auto completions = static_cast<double>(known.survived.size());
+	const auto exits = weight_of(evidence) + static_cast<double>(additional_exits);
+	const auto completions = static_cast<double>(evidence.survived.size());
 	return exits >= tuning_.quarantine_exits && exits > tuning_.min_exits_per_completion * completions;
 }
 
@@ -76,39 +77,39 @@
 /// registry merges the halves.
 bool suspect_list::is_worth_storing(const entry& suspect, bool for_others) const
 {
-	const auto weight = weight_of(suspect.known);
-	const bool has_isolated_exit = std::any_of(suspect.known.ended.begin(), suspect.known.ended.end(),
-		[&](const auto& exit) { return !has_other_cause(exit.second, suspect.known); });
+	const auto weight = weight_of(suspect.evidence);
+	const bool has_isolated_exit = std::any_of(suspect.evidence.ended.begin(), suspect.evidence.ended.end(),
+		[&](const auto& exit) { return !has_other_cause(exit.second, suspect.evidence); });
 	if (weight >= tuning_.direct_store_weight)
 	{
 		return for_others || suspect.is_seen_here;
 	}
-	return for_others && (has_isolated_exit || may_be_half_known(suspect.known));
+	return for_others && (has_isolated_exit || may_be_partial(suspect.evidence));
 }
 
 bool suspect_list::is_quarantined(const request_key& key, instant now) const
 {
 	const auto* suspect = find(key, now);
-	return suspect != nullptr && exceeds_threshold(suspect->known, 0);
+	return suspect != nullptr && exceeds_threshold(suspect->evidence, 0);
 }
 
 bool suspect_list::is_undecided(const request_key& key, instant now) const
 {
 	const auto* suspect = find(key, now);
-	return suspect != nullptr && !exceeds_threshold(suspect->known, 0) &&
-		   exceeds_threshold(suspect->known, suspect->presumed.size());
+	return suspect != nullptr && !exceeds_threshold(suspect->evidence, 0) &&
+		   exceeds_threshold(suspect->evidence, suspect->presumed.size());
 }
 
 bool suspect_list::is_near_quarantine(const request_key& key, instant now) const
 {
 	const auto* suspect = find(key, now);
-	return suspect != nullptr && weight_of(suspect->known) >= tuning_.quarantine_exits - 1;
+	return suspect != nullptr && weight_of(suspect->evidence) >= tuning_.quarantine_exits - 1;
 }
 
 suspect_list::entry& suspect_list::find_or_add(const request_key& key, instant now)
 {
 	auto& suspect = suspects_[key];
-	suspect.known.key = key;
+	suspect.evidence.key = key;
 	suspect.stored.key = key;
 	suspect.last_exit = std::max(suspect.last_exit, now);
 	return suspect;
@@ -120,7 +121,7 @@
 	for (const auto& key : requests)
 	{
 		auto& suspect = find_or_add(key, now);
-		if (!suspect.known.ended.contains(process))
+		if (!suspect.evidence.ended.contains(process))
 		{
 			suspect.presumed.insert(process);
 		}
@@ -136,10 +137,10 @@
 		const bool was_running = suspect.presumed.erase(process) > 0;
 		if (was_running)
 		{
-			add_exit(suspect.known, process, {});
+			add_exit(suspect.evidence, process, {});
 			suspect.is_seen_here = true;
 		}
-		const bool is_new = add_simultaneous(suspect.known, simultaneous);
+		const bool is_new = add_simultaneous(suspect.evidence, simultaneous);
 		if (was_running || is_new)
 		{
 			on_change(suspect, now);
@@ -148,20 +149,20 @@
 }
 
 /// \returns Whether anything was new.
-bool suspect_list::add_simultaneous(suspicion& known, const std::vector<process_instance>& processes) const
+bool suspect_list::add_simultaneous(suspicion& evidence, const std::vector<process_instance>& processes) const
 {
 	bool is_new = false;
 	for (const auto process : processes)
 	{
-		const auto exit = known.ended.find(process);
-		if (exit == known.ended.end())
+		const auto exit = evidence.ended.find(process);
+		if (exit == evidence.ended.end())
 		{
 			continue;
 		}
 		std::set<process_instance> others{processes.begin(), processes.end()};
 		others.erase(process);
 		const auto before = exit->second;
-		add_exit(known, process, others);
+		add_exit(evidence, process, others);
 		is_new = is_new || exit->second != before;
 	}
 	return is_new;
@@ -181,7 +182,7 @@
 	for (auto suspect = suspects_.begin(); suspect != suspects_.end();)
 	{
 		const bool was_presumed = suspect->second.presumed.erase(process) > 0;
-		const bool is_clear = suspect->second.presumed.empty() && suspect->second.known.ended.empty();
+		const bool is_clear = suspect->second.presumed.empty() && suspect->second.evidence.ended.empty();
 		suspect = was_presumed && is_clear ? suspects_.erase(suspect) : std::next(suspect);
 	}
 }
@@ -189,11 +190,11 @@
 void suspect_list::add_completion(const request_key& key, process_instance process, instant now)
 {
 	const auto found = suspects_.find(key);
-	if (found == suspects_.end() || found->second.known.survived.size() >= tuning_.max_processes)
+	if (found == suspects_.end() || found->second.evidence.survived.size() >= tuning_.max_processes)
 	{
 		return;
 	}
-	if (found->second.known.survived.insert(process).second)
+	if (found->second.evidence.survived.insert(process).second)
 	{
 		on_change(found->second, now);
 	}
@@ -206,7 +207,7 @@
 		return;
 	}
 	auto& suspect = find_or_add(report.key, last_exit);
-	if (merge_evidence(suspect.known, report))
+	if (merge_evidence(suspect.evidence, report))
 	{
 		on_change(suspect, now);
 	}
@@ -239,10 +240,10 @@
 void suspect_list::on_change(entry& suspect, instant now)
 {
 	suspect.changed_at = now;
-	const bool is_quarantined_now = exceeds_threshold(suspect.known, 0);
+	const bool is_quarantined_now = exceeds_threshold(suspect.evidence, 0);
 	if (is_quarantined_now && !suspect.is_quarantine_reported)
 	{
-		on_quarantine_(suspect.known, weight_of(suspect.known));
+		on_quarantine_(suspect.evidence, weight_of(suspect.evidence));
 	}
 	suspect.is_quarantine_reported = is_quarantined_now;
 }
@@ -252,20 +253,20 @@
 	std::vector<const entry*> found;
 	for (const auto& [key, suspect] : suspects_)
 	{
-		if (suspect.known.ended.size() >= std::max<std::size_t>(1, min_exits) &&
+		if (suspect.evidence.ended.size() >= std::max<std::size_t>(1, min_exits) &&
 			now - suspect.changed_at <= tuning_.report_time)
 		{
 			found.push_back(&suspect);
 		}
 	}
 	std::stable_sort(found.begin(), found.end(),
-		[](const entry* a, const entry* b) { return a->known.ended.size() > b->known.ended.size(); });
+		[](const entry* a, const entry* b) { return a->evidence.ended.size() > b->evidence.ended.size(); });
 	found.resize(std::min(found.size(), tuning_.max_reported));
 	std::vector<suspicion> report;
 	report.reserve(found.size());
 	for (const auto* suspect : found)
 	{
-		report.push_back(suspect->known);
+		report.push_back(suspect->evidence);
 	}
 	return report;
 }
@@ -276,14 +277,14 @@
 	std::vector<suspicion> single_exits;
 	for (const auto& [key, suspect] : suspects_)
 	{
-		auto all = suspect.stored;
+		auto merged = suspect.stored;
 		if (!is_worth_storing(suspect, for_others) || find(key, now) == nullptr ||
-			!merge_evidence(all, suspect.known))
+			!merge_evidence(merged, suspect.evidence))
 		{
 			continue;
 		}
-		const bool is_single_exit = weight_of(suspect.known) < tuning_.direct_store_weight;
-		(is_single_exit ? single_exits : result).push_back(std::move(all));
+		const bool is_single_exit = weight_of(suspect.evidence) < tuning_.direct_store_weight;
+		(is_single_exit ? single_exits : result).push_back(std::move(merged));
 	}
 	if (single_exits.size() <= tuning_.max_singles_stored)
 	{
@@ -317,8 +318,8 @@
 		const auto weakest = std::min_element(suspects_.begin(), suspects_.end(),
 			[](const auto& a, const auto& b)
 			{
-				return std::pair{a.second.known.ended.size(), a.second.last_exit} <
-					   std::pair{b.second.known.ended.size(), b.second.last_exit};
+				return std::pair{a.second.evidence.ended.size(), a.second.last_exit} <
+					   std::pair{b.second.evidence.ended.size(), b.second.last_exit};
 			});
 		suspects_.erase(weakest);
 	}
--- a/tests/quarantine/suspect_list.cpp
+++ b/tests/quarantine/suspect_list.cpp
@@ -22,27 +22,27 @@
 	return process_instance{number};
 }
 
-/// A list, and the requests that it reported as quarantined.
+/// A suspect list, and the requests that the list reported as quarantined.
 struct suspect_fixture
 {
 	void exit_process(int number, const std::vector<request_key>& requests,
-		const std::vector<process_instance>& together = {})
+		const std::vector<process_instance>& simultaneous = {})
 	{
 		list.presume(process(number), requests, start);
-		list.confirm(process(number), together, start);
+		list.confirm(process(number), simultaneous, start);
 	}
 
 	std::vector<suspicion> quarantined;
-	suspect_list list{[this](const suspicion& one, double) { quarantined.push_back(one); }};
+	suspect_list list{[this](const suspicion& suspect, double) { quarantined.push_back(suspect); }};
 };
 
-suspicion make_suspicion(const request_key& key, const std::set<process_instance>& ended)
+suspicion make_suspicion(const request_key& key, const std::set<process_instance>& exited)
 {
 	suspicion made;
 	made.key = key;
-	for (const auto one : ended)
+	for (const auto instance : exited)
 	{
-		made.ended[one] = {};
+		made.ended[instance] = {};
 	}
 	return made;
 }
@@ -50,7 +50,7 @@
 std::set<process_instance> exited_processes(const suspicion& from)
 {
 	std::set<process_instance> processes;
-	for (const auto& [process, together] : from.ended)
+	for (const auto& [process, simultaneous] : from.ended)
 	{
 		processes.insert(process);
 	}
@@ -112,17 +112,17 @@
 TEST_CASE("a request that was running during simultaneous unrelated exits is still served", "[quarantine]")
 {
 	suspect_fixture fixture;
-	// The first exit is confirmed before the others of the same loss are known.
+	// The first exit is confirmed before the simultaneous exits are known.
 	fixture.exit_process(1, {bystander});
 	fixture.exit_process(2, {bystander}, {process(1), process(2), process(21), process(22)});
-	// It was also running during the next losses, and is still served.
+	// The request was also running during the next simultaneous exits, and is still served.
 	for (int number = 3; number <= 5; ++number)
 	{
 		fixture.exit_process(
 			number, {bystander}, {process(number), process(20 + number), process(30 + number)});
 		CHECK_FALSE(fixture.list.is_quarantined(bystander, start));
 	}
-	// After an isolated exit it is quarantined.
+	// After an isolated exit the request is quarantined.
 	fixture.exit_process(6, {bystander});
 	CHECK(fixture.list.is_quarantined(bystander, start));
 }
@@ -138,26 +138,26 @@
 }
 
 // Guards against counting exits as unrelated although one request caused them at several VMs: three VMs
-// send it to a replica each at the same moment. Each VM sees three exits but knows of the request at one
-// replica only, so every exit had half weight and 6 exits instead of 3 were needed for quarantine.
+// each send it to a different replica at the same moment. Each VM sees three exits but knows of the request
+// at one replica only, so every exit had half weight and 6 exits instead of 3 were needed for quarantine.
 TEST_CASE("simultaneous exits that one request caused at several VMs have full weight", "[quarantine]")
 {
 	const std::vector<process_instance> all{process(1), process(2), process(3)};
-	suspect_fixture one;
-	suspect_fixture two;
-	suspect_fixture three;
-	one.exit_process(1, {cause, bystander}, all);
-	two.exit_process(2, {cause}, all);
-	three.exit_process(3, {cause}, all);
-	for (const auto* other : {&two, &three})
+	suspect_fixture first_vm;
+	suspect_fixture second_vm;
+	suspect_fixture third_vm;
+	first_vm.exit_process(1, {cause, bystander}, all);
+	second_vm.exit_process(2, {cause}, all);
+	third_vm.exit_process(3, {cause}, all);
+	for (const auto* other_vm : {&second_vm, &third_vm})
 	{
-		for (const auto& reported : other->list.recent_changes(1, start))
+		for (const auto& reported : other_vm->list.recent_changes(1, start))
 		{
-			one.list.merge(reported, start, start);
+			first_vm.list.merge(reported, start, start);
 		}
 	}
-	CHECK(one.list.is_quarantined(cause, start));
-	CHECK_FALSE(one.list.is_quarantined(bystander, start));
+	CHECK(first_vm.list.is_quarantined(cause, start));
+	CHECK_FALSE(first_vm.list.is_quarantined(bystander, start));
 }
 
 TEST_CASE("a popular request that is completed between exits is not quarantined", "[quarantine]")
@@ -183,16 +183,16 @@
 	for (std::uint64_t seed = 1; seed <= 200; ++seed)
 	{
 		seeded_random random{seed};
-		suspect_fixture one;
+		suspect_fixture receiver;
 		for (int i = 0; i < 40; ++i)
 		{
-			one.list.merge(reports[random_below(random, reports.size())], start, start);
+			receiver.list.merge(reports[random_below(random, reports.size())], start, start);
 		}
 		for (const auto& report : reports)
 		{
-			one.list.merge(report, start, start);
+			receiver.list.merge(report, start, start);
 		}
-		const auto reported = one.list.recent_changes(1, start);
+		const auto reported = receiver.list.recent_changes(1, start);
 		REQUIRE(reported.size() == 2);
 		const auto& first = reported.front();
 		CHECK(first.key == cause);
@@ -269,26 +269,26 @@
 }
 
 // Guards against losing evidence that is split between failure domains: four VMs of two failure domains
-// send the request to a replica each at the same moment. Each domain knows of two exits, and of two more
-// replicas that exited without it. At half weight that was not enough to be stored, and four more replicas
-// exited 1.2 s later.
+// each send the request to a different replica at the same moment. Each domain knows of two exits, and of two
+// more replicas that exited without running the request, as far as it knows. At half weight that was not
+// enough to be stored, and four more replicas exited 1.2 s later.
 TEST_CASE(
 	"simultaneous exits of which two failure domains know half each are stored and merged", "[quarantine]")
 {
 	const std::vector<process_instance> all{process(1), process(2), process(3), process(4)};
-	suspect_fixture one;
-	suspect_fixture other;
-	one.exit_process(1, {cause, bystander}, all);
-	one.exit_process(2, {cause}, all);
-	other.exit_process(3, {cause}, all);
-	other.exit_process(4, {cause}, all);
-	CHECK_FALSE(one.list.is_quarantined(cause, start));
-	for (const auto& stored : other.list.unstored(true, start))
+	suspect_fixture first_domain;
+	suspect_fixture second_domain;
+	first_domain.exit_process(1, {cause, bystander}, all);
+	first_domain.exit_process(2, {cause}, all);
+	second_domain.exit_process(3, {cause}, all);
+	second_domain.exit_process(4, {cause}, all);
+	CHECK_FALSE(first_domain.list.is_quarantined(cause, start));
+	for (const auto& stored : second_domain.list.unstored(true, start))
 	{
-		one.list.merge_stored(stored, start, start);
+		first_domain.list.merge_stored(stored, start, start);
 	}
-	CHECK(one.list.is_quarantined(cause, start));
-	CHECK_FALSE(one.list.is_quarantined(bystander, start));
+	CHECK(first_domain.list.is_quarantined(cause, start));
+	CHECK_FALSE(first_domain.list.is_quarantined(bystander, start));
 }
 
 TEST_CASE("merged reports of more exits than are kept do not depend on order", "[quarantine]")
@@ -304,14 +304,14 @@
 	for (std::uint64_t seed = 1; seed <= 100; ++seed)
 	{
 		seeded_random random{seed};
-		suspect_fixture one;
-		for (auto left = reports; !left.empty();)
+		suspect_fixture receiver;
+		for (auto remaining = reports; !remaining.empty();)
 		{
-			const auto drawn = random_below(random, left.size());
-			one.list.merge(left[drawn], start, start);
-			left.erase(left.begin() + static_cast<std::ptrdiff_t>(drawn));
+			const auto drawn = random_below(random, remaining.size());
+			receiver.list.merge(remaining[drawn], start, start);
+			remaining.erase(remaining.begin() + static_cast<std::ptrdiff_t>(drawn));
 		}
-		const auto reported = one.list.recent_changes(1, start);
+		const auto reported = receiver.list.recent_changes(1, start);
 		REQUIRE(reported.size() == 1);
 		CHECK(all.value_or(reported.front()) == reported.front());
 		all = reported.front();
@@ -334,11 +334,11 @@
 	{
 		for (auto* writer : {&a, &b})
 		{
-			for (const auto& one : writer->list.unstored(true, start))
+			for (const auto& evidence : writer->list.unstored(true, start))
 			{
 				++writes;
-				a.list.merge_stored(one, start, start);
-				b.list.merge_stored(one, start, start);
+				a.list.merge_stored(evidence, start, start);
+				b.list.merge_stored(evidence, start, start);
 			}
 		}
 	}
--- a/tests/routing/announced_limits.cpp
+++ b/tests/routing/announced_limits.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Rate limits that replicas announce in their responses, and when they end.
+// Rate limits that replicas announce in their responses, and when a limit ends.
 #include "../support/replicas.hpp"
 
 #include <catch2/catch.hpp>
--- a/tests/routing/missing_replica.cpp
+++ b/tests/routing/missing_replica.cpp
@@ -4,7 +4,7 @@
 // Guards against requests to a replica that is long gone: one was sent 12.2 s after the registry had
 // acknowledged the removal of the entry; 2 s are allowed. An entry that goes missing just after a loss of
 // the registry only makes its replica suspected, until the registry has answered for 2.2 s. Each failed
-// registry call of the VM restarted this time, the registry refused the VM every 2.2 s, and meanwhile the
+// registry call of the VM restarted these 2.2 s, the registry refused the VM every 2.2 s, and meanwhile the
 // suspected replica was chosen like any other.
 #include "../support/replicas.hpp"
 
@@ -21,7 +21,7 @@
 
 namespace
 {
-/// Replicas "r0", "r1", ... of one service, in a registry that has been available for long.
+/// Replicas "r0", "r1", ... of one service, in a registry that has been available for a long time.
 struct replica_fixture
 {
 	explicit replica_fixture(int count)
--- a/tests/routing/replica_selector.cpp
+++ b/tests/routing/replica_selector.cpp
@@ -61,7 +61,7 @@
 	CHECK(used.size() == 6);
 }
 
-TEST_CASE("affinity is given up if its replica has far more work than the others", "[selector]")
+TEST_CASE("the preferred replica is not used if it has far more work than the others", "[selector]")
 {
 	selector_fixture fixture{3};
 	const auto preferred = fixture.choose(42)->id;
@@ -99,7 +99,8 @@
 }
 
 TEST_CASE(
-	"affinity holds while processing the shared prefix at another replica would be more work", "[selector]")
+	"the preferred replica is used while processing the shared prefix at another one would be more work",
+	"[selector]")
 {
 	selector_fixture fixture{6};
 	selection request;
@@ -159,7 +160,8 @@
 	}
 }
 
-TEST_CASE("requests go to the replica of the own failure domain until it is loaded", "[selector]")
+TEST_CASE(
+	"requests go to the replica of the VM's own failure domain until that replica is loaded", "[selector]")
 {
 	selector_fixture fixture{3};
 	CHECK(fixture.choose()->id.str() == "r0");
--- a/tests/routing/restarted_replica.cpp
+++ b/tests/routing/restarted_replica.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// A replica that restarts under the same id is a new process: it has none of the previous state, and what
-// was recorded for the previous process does not apply to it.
+// A replica that restarts under the same id is a new process: the previous process's state and records do
+// not apply to it.
 #include "../support/replicas.hpp"
 
 #include <catch2/catch.hpp>
@@ -50,12 +50,12 @@
 	}
 
 	std::vector<replica_change> changes;
-	replica_set set{[this](const replica& one, replica_change change)
+	replica_set set{[this](const replica& changed, replica_change change)
 		{
 			changes.push_back(change);
 			if (change == replica_change::restarted)
 			{
-				selector.forget(one.id);
+				selector.forget(changed.id);
 			}
 		}};
 	replica_selector selector{
@@ -121,11 +121,11 @@
 TEST_CASE("an entry that expired and came back is the same process and stays ejected", "[routing][restart]")
 {
 	restart_fixture fixture;
-	const auto one = *fixture.set.find(replica_id{"r0"});
-	fixture.selector.record_result(one, replica_result::not_connected, duration{}, at(milliseconds{0}));
+	const auto entry = *fixture.set.find(replica_id{"r0"});
+	fixture.selector.record_result(entry, replica_result::not_connected, duration{}, at(milliseconds{0}));
 	fixture.set.mark_registry_unavailable(at(milliseconds{10}));
 	fixture.set.remove(replica_id{"r0"}, at(milliseconds{20}));
-	fixture.set.put(one, at(milliseconds{30}));
+	fixture.set.put(entry, at(milliseconds{30}));
 	CHECK(fixture.chosen() == std::set<std::string>{"r1"});
 }
 
--- a/tests/routing/routing.cpp
+++ b/tests/routing/routing.cpp
@@ -15,7 +15,7 @@
 
 namespace
 {
-/// A set with one replica, in a registry that has been available for long.
+/// A set with one replica, in a registry that has been available for a long time.
 struct replica_fixture
 {
 	replica_fixture()
@@ -65,10 +65,10 @@
 TEST_CASE("malformed addresses are rejected", "[routing]")
 {
 	CHECK(address::parse("10.0.0.1:80") == address{"10.0.0.1", 80});
-	for (const auto* wrong :
+	for (const auto* malformed :
 		{"", "10.0.0.1", ":80", "10.0.0.1:", "10.0.0.1:0", "10.0.0.1:70000", "10.0.0.1:8x"})
 	{
-		CHECK_FALSE(address::parse(wrong));
+		CHECK_FALSE(address::parse(malformed));
 	}
 }
 
--- a/tests/routing/slow_start.cpp
+++ b/tests/routing/slow_start.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Slow start over many VMs in virtual time: the limit of a cold replica holds whatever each VM knows of the
-// others, and most of it is used.
+// Slow start over many VMs in virtual time: the limit of a cold replica is kept whatever each VM knows of
+// the others, and most of the limit is used.
 #include "../support/fleet.hpp"
 #include "../support/replicas.hpp"
 
@@ -153,7 +153,7 @@
 	}
 }
 
-TEST_CASE("a VM without a fresh list, or recently added to it, has no share", "[routing][slow_start]")
+TEST_CASE("a VM without a fresh list, or recently added to the list, has no share", "[routing][slow_start]")
 {
 	cold_vm vm;
 	auto& cold = vm.cold;
@@ -171,7 +171,7 @@
 	CHECK_FALSE(cold.allows_request(target, at(seconds{9})));
 }
 
-TEST_CASE("a replica is cold until the latest end that is known", "[routing][slow_start]")
+TEST_CASE("a replica is cold until the latest known end of its warm-up", "[routing][slow_start]")
 {
 	cold_vm vm;
 	auto& cold = vm.cold;
