--- a/tests/routing/restarted_replica.cpp
+++ b/tests/routing/restarted_replica.cpp
@@ -50,12 +50,12 @@
 	}
 
 	std::vector<replica_change> changes;
-	replica_set set{[this](const replica& changed, replica_change change)
+	replica_set set{[this](const replica& updated, replica_change change)
 		{
 			changes.push_back(change);
 			if (change == replica_change::restarted)
 			{
-				selector.forget(changed.id);
+				selector.forget(updated.id);
 			}
 		}};
 	replica_selector selector{
