--- a/include/gingerdyke/quarantine/replica_runs.hpp
+++ b/include/gingerdyke/quarantine/replica_runs.hpp
@@ -14,9 +14,9 @@
 /// \brief Identifies one execution of a request on this VM.
 using run_number = quantity<struct run_tag>;
 
-/// \brief Identifies one process of a replica, equally on all VMs. A hash of the replica's id, its
-/// incarnation, and the number of earlier exits under the same id and incarnation, which tells processes of
-/// a replica with unknown incarnation apart.
+/// \brief Identifies one process of a replica; the same on all VMs. It is a hash of the replica's id, its
+/// incarnation, and the number of earlier exits under the same id and incarnation, which distinguishes the
+/// processes of a replica with unknown incarnation.
 using process_instance = quantity<struct process_instance_tag>;
 
 /// \brief Outcome of an execution, as far as it is evidence for or against the request.
@@ -86,8 +86,8 @@
 		std::optional<instant> abandoned_at;
 	};
 
-	/// The processes that this VM's requests reach through one registry entry.
-	struct process
+	/// State of the processes that this VM's requests reach through one registry entry.
+	struct entry_state
 	{
 		/// Number of exits that this VM saw under this entry.
 		unsigned exit_count{};
@@ -109,13 +109,13 @@
 	};
 
 	[[nodiscard]] static entry_id entry_id_of(const routing::replica& target);
-	[[nodiscard]] const process* find(const routing::replica& target) const;
-	[[nodiscard]] process* find(const routing::replica& target);
+	[[nodiscard]] const entry_state* find(const routing::replica& target) const;
+	[[nodiscard]] entry_state* find(const routing::replica& target);
 	[[nodiscard]] bool is_running(const run& execution, instant now) const;
-	void drop_expired_runs(process& target, instant now) const;
+	void drop_expired_runs(entry_state& target, instant now) const;
 
 	replica_runs_tuning tuning_;
-	std::map<entry_id, process> processes_;
+	std::map<entry_id, entry_state> entries_;
 	std::int64_t last_run_number_ = 0;
 };
 } // namespace gingerdyke::quarantine
--- a/include/gingerdyke/quarantine/request_key.hpp
+++ b/include/gingerdyke/quarantine/request_key.hpp
@@ -7,7 +7,7 @@
 
 namespace gingerdyke::quarantine
 {
-/// \brief Identifies a request by its content, equally on all VMs.
+/// \brief Identifies a request by its content; the same on all VMs.
 using request_key = string_id<struct request_key_tag>;
 
 /// \brief Content that identifies a request. The request id, other headers and the VM that receives the
--- a/include/gingerdyke/quarantine/suspect_list.hpp
+++ b/include/gingerdyke/quarantine/suspect_list.hpp
@@ -40,10 +40,10 @@
 	double quarantine_exits = 3;
 
 	/// Weight of an exit that is attributed to another cause than the request because others occurred at
-	/// the same time. At this weight, requests that were running on three
-	/// replicas of a failed rack, or were retried on replicas that were lost in the next failure, are still
-	/// served. With a weight of 1, 24 of 458 requests that were running during unrelated exits would have
-	/// been quarantined (in one day with six series of exits within 41 s).
+	/// the same time. At this weight, requests that were running on three replicas of a failed rack, or were
+	/// retried on replicas that were lost in the next failure, are still served. With a weight of 1, 24 of
+	/// 458 requests that were running during unrelated exits would have been quarantined (in one day with six
+	/// series of exits within 41 s).
 	double simultaneous_weight = 0.5;
 
 	/// Simultaneous exits are attributed to another cause if at least this many of the processes were not
@@ -55,14 +55,13 @@
 	/// a popular request is completed again and again, even if processes exit while they run it.
 	double min_exits_per_completion = 2;
 
-	/// How long evidence is kept after the last exit. Clients retry for minutes, and once a model
-	/// or the request is fixed, nobody should have to wait for longer than a roll-out takes.
+	/// How long evidence is kept after the last exit. Clients retry for minutes, and once a model or
+	/// the request is fixed, nobody should have to wait for longer than a roll-out takes.
 	duration lifetime = std::chrono::minutes{10};
 
 	/// Evidence of at least this weight is stored in the registry by any VM that saw one of the exits
-	/// itself: the next exit
-	/// would quarantine the request, and storing it through the VM that reads the registry for others takes
-	/// 0.2 s more.
+	/// itself: the next exit would quarantine the request, and storing the evidence through the VM that reads
+	/// the registry for others takes 0.2 s more.
 	double direct_store_weight = 2;
 
 	/// Maximum number of processes in each set; all VMs keep the smallest ones. More would change no
--- a/include/gingerdyke/routing/catalog.hpp
+++ b/include/gingerdyke/routing/catalog.hpp
@@ -193,6 +193,7 @@
 using catalog_ptr = std::shared_ptr<const catalog>;
 
 /// \brief Picks the service that a request of a route goes to, in proportion to the weights.
-/// \param hash Hash of the key whose requests must go to the same service, such as the session id.
+/// \param hash Hash of the key whose requests must go to the same service, such as the session id;
+/// equal hashes pick the same service.
 [[nodiscard]] const service_id& pick_service(const route& route, std::uint64_t hash);
 } // namespace gingerdyke::routing
--- a/include/gingerdyke/routing/replica_selector.hpp
+++ b/include/gingerdyke/routing/replica_selector.hpp
@@ -23,9 +23,8 @@
 
 	/// The replica preferred by affinity is not used if another replica has less work by this many prompt
 	/// tokens, as processed by the request's model, plus those of the shared prefix that the other replica
-	/// would have to process again. With a
-	/// smaller margin, small changes of load make engines process shared prefixes again; with a larger one,
-	/// requests queue while other engines are idle.
+	/// would have to process again. With a smaller margin, small changes of load make engines process shared
+	/// prefixes again; with a larger one, requests queue while other engines are idle.
 	double affinity_margin = 28000;
 
 	/// Work added to a replica of another failure domain, in prompt tokens as processed by the largest
--- a/include/gingerdyke/routing/replica_set.hpp
+++ b/include/gingerdyke/routing/replica_set.hpp
@@ -131,8 +131,8 @@
 	/// replicas have their entries.
 	[[nodiscard]] bool excludes_suspected(const service_id& service) const;
 
-	/// \brief Whether a replica may be sent new requests: this process of it is the
-	/// current one, is not draining, and is not excluded as suspected.
+	/// \brief Whether a replica may be sent new requests: this process is the current one of its replica
+	/// id, is not draining, and is not excluded as suspected.
 	[[nodiscard]] bool accepts_requests(const replica& target) const;
 
 	/// \brief Whether the given process is the current one of its replica id.
--- a/include/gingerdyke/routing/slow_start.hpp
+++ b/include/gingerdyke/routing/slow_start.hpp
@@ -53,10 +53,10 @@
 	/// \param vms List of the VMs that send to the replicas; must outlive this object.
 	slow_start(const fleet_list& vms, cold_hook began, slow_start_tuning tuning = {});
 
-	/// \brief Sets the limits; replicas of services without one are never considered cold.
+	/// \brief Sets the limits; replicas of services without a limit are never considered cold.
 	void set_limits(std::map<service_id, cold_limit> limits) { limits_ = std::move(limits); }
 
-	/// \brief Applies the remaining warm-up time in a replica's entry, if there is one.
+	/// \brief Applies the remaining warm-up time in a replica's entry, if the entry states one.
 	void apply_entry(const replica& target, instant now);
 
 	/// \brief Considers a replica cold for its service's warm-up time, because it has started, may have
--- a/src/quarantine/replica_runs.cpp
+++ b/src/quarantine/replica_runs.cpp
@@ -12,15 +12,15 @@
 	return {target.id, target.incarnation};
 }
 
-const replica_runs::process* replica_runs::find(const routing::replica& target) const
+const replica_runs::entry_state* replica_runs::find(const routing::replica& target) const
 {
-	const auto found = processes_.find(entry_id_of(target));
-	return found == processes_.end() ? nullptr : &found->second;
+	const auto found = entries_.find(entry_id_of(target));
+	return found == entries_.end() ? nullptr : &found->second;
 }
 
-replica_runs::process* replica_runs::find(const routing::replica& target)
+replica_runs::entry_state* replica_runs::find(const routing::replica& target)
 {
-	return const_cast<process*>(std::as_const(*this).find(target));
+	return const_cast<entry_state*>(std::as_const(*this).find(target));
 }
 
 bool replica_runs::is_running(const run& execution, instant now) const
@@ -30,14 +30,14 @@
 
 run_number replica_runs::begin(const routing::replica& target, request_key key, instant now)
 {
-	auto& process = processes_[entry_id_of(target)];
-	drop_expired_runs(process, now);
+	auto& state = entries_[entry_id_of(target)];
+	drop_expired_runs(state, now);
 	const run_number number{++last_run_number_};
-	process.runs.push_back({number, std::move(key), {}});
+	state.runs.push_back({number, std::move(key), {}});
 	return number;
 }
 
-void replica_runs::drop_expired_runs(process& target, instant now) const
+void replica_runs::drop_expired_runs(entry_state& target, instant now) const
 {
 	std::erase_if(target.runs, [&](const run& execution) { return !is_running(execution, now); });
 }
@@ -122,12 +122,12 @@
 
 void replica_runs::remove_entry(const replica_id& id, instant now)
 {
-	for (auto& [key, process] : processes_)
+	for (auto& [key, state] : entries_)
 	{
-		process.is_entry_removed = process.is_entry_removed || key.id == id;
-		drop_expired_runs(process, now);
+		state.is_entry_removed = state.is_entry_removed || key.id == id;
+		drop_expired_runs(state, now);
 	}
-	std::erase_if(processes_,
+	std::erase_if(entries_,
 		[](const auto& entry) { return entry.second.is_entry_removed && entry.second.runs.empty(); });
 }
 } // namespace gingerdyke::quarantine
--- a/tests/routing/backoff_periods.cpp
+++ b/tests/routing/backoff_periods.cpp
@@ -56,7 +56,7 @@
 		CHECK_FALSE(backoffs.allows_request(target, at(milliseconds{6000})));
 		CHECK(backoffs.allows_request(target, at(milliseconds{6100})));
 	}
-	SECTION("without an answer")
+	SECTION("without a response")
 	{
 		CHECK(backoffs.allows_request(target, at(seconds{5})));
 	}
--- a/tests/routing/limited_fleet.cpp
+++ b/tests/routing/limited_fleet.cpp
@@ -39,6 +39,8 @@
 {
 	fleet_list vms;
 	announced_limits limits{vms, [](const replica&, limit_change, const limit_announcement&) {}};
+
+	/// Whether this VM has received a response with the limit.
 	bool is_informed{};
 };
 
@@ -93,6 +95,7 @@
 		}
 	}
 
+	/// Returns the largest number of requests that informed VMs sent in any window after a moment.
 	[[nodiscard]] std::size_t max_from_informed(instant since) const
 	{
 		std::deque<instant> recent;
--- a/tests/routing/replica_selector.cpp
+++ b/tests/routing/replica_selector.cpp
@@ -37,7 +37,7 @@
 		return selector.choose(request, now);
 	}
 
-	[[nodiscard]] const replica& of(const replica_id& id) const { return *replicas.find(id); }
+	[[nodiscard]] const replica& replica_by_id(const replica_id& id) const { return *replicas.find(id); }
 
 	instant now{seconds{50}};
 	unsigned ejections = 0;
@@ -65,10 +65,10 @@
 {
 	selector_fixture fixture{3};
 	const auto preferred = fixture.choose(42)->id;
-	fixture.selector.record_sent(fixture.of(preferred), 200000);
+	fixture.selector.record_sent(fixture.replica_by_id(preferred), 200000);
 	const auto next = fixture.choose(42)->id;
 	CHECK(next != preferred);
-	fixture.selector.record_completion(fixture.of(preferred), 200000);
+	fixture.selector.record_completion(fixture.replica_by_id(preferred), 200000);
 	CHECK(fixture.choose(42)->id == preferred);
 }
 
@@ -76,13 +76,13 @@
 {
 	selector_fixture fixture{3};
 	const auto preferred = fixture.choose(42)->id;
-	fixture.selector.record_sent(fixture.of(preferred), 200000);
+	fixture.selector.record_sent(fixture.replica_by_id(preferred), 200000);
 	REQUIRE(fixture.choose(42)->id != preferred);
-	fixture.selector.record_progress(fixture.of(preferred), 190000);
+	fixture.selector.record_progress(fixture.replica_by_id(preferred), 190000);
 	CHECK(fixture.choose(42)->id == preferred);
 	REQUIRE(fixture.selector.outstanding_work().size() == 1);
 	CHECK(fixture.selector.outstanding_work().front().tokens == 10000);
-	fixture.selector.record_completion(fixture.of(preferred), 10000);
+	fixture.selector.record_completion(fixture.replica_by_id(preferred), 10000);
 	CHECK(fixture.selector.outstanding_work().empty());
 }
 
@@ -110,9 +110,9 @@
 	request.is_engine = true;
 	request.usable = [](const replica&) { return true; };
 	const auto preferred = fixture.selector.choose(request, fixture.now)->id;
-	fixture.selector.record_sent(fixture.of(preferred), 60000);
+	fixture.selector.record_sent(fixture.replica_by_id(preferred), 60000);
 	CHECK(fixture.selector.choose(request, fixture.now)->id == preferred);
-	fixture.selector.record_sent(fixture.of(preferred), 60000);
+	fixture.selector.record_sent(fixture.replica_by_id(preferred), 60000);
 	CHECK(fixture.selector.choose(request, fixture.now)->id != preferred);
 	CHECK(fixture.selector.outstanding_work().front().tokens == 120000);
 }
@@ -153,7 +153,7 @@
 	"prompts for small models leave the failure domain if its replicas have too much work", "[selector]")
 {
 	selector_fixture fixture{6};
-	fixture.selector.record_sent(fixture.of(replica_id{"r0"}), 50000);
+	fixture.selector.record_sent(fixture.replica_by_id(replica_id{"r0"}), 50000);
 	for (std::uint64_t prompt = 1; prompt <= 40; ++prompt)
 	{
 		CHECK(fixture.selector.choose(prompt_for(0.05, prompt), fixture.now)->domain.str() == "far");
@@ -165,7 +165,7 @@
 {
 	selector_fixture fixture{3};
 	CHECK(fixture.choose()->id.str() == "r0");
-	fixture.selector.record_sent(fixture.of(replica_id{"r0"}), 0);
+	fixture.selector.record_sent(fixture.replica_by_id(replica_id{"r0"}), 0);
 	CHECK(fixture.choose()->id.str() != "r0");
 }
 
