--- a/include/gingerdyke/quarantine/suspect_list.hpp
+++ b/include/gingerdyke/quarantine/suspect_list.hpp
@@ -125,7 +125,7 @@
 	/// \brief Whether a request is quarantined.
 	[[nodiscard]] bool is_quarantined(const request_key& key, instant now) const;
 
-	/// \brief Whether a presumed but unconfirmed exit decides whether a request is quarantined.
+	/// \brief Whether a request that is not quarantined would be if its presumed exits were confirmed.
 	[[nodiscard]] bool is_undecided(const request_key& key, instant now) const;
 
 	/// \brief Whether the next exit would quarantine a request.
--- a/include/gingerdyke/routing/slow_start.hpp
+++ b/include/gingerdyke/routing/slow_start.hpp
@@ -41,9 +41,10 @@
 /// \brief Tracks which replicas are cold and computes this VM's share of their limits.
 ///
 /// VMs do not negotiate their shares. A VM with a list of n VMs may send a cold replica an equal part of
-/// the limit in each second. If there are more VMs than requests, it may send one request if a hash of VM
-/// and replica ranks it among the first VMs. VMs with different lists still keep to the limit together,
-/// because only a VM with a fresh list that is known to the other VMs has a share.
+/// the limit in each second. If there are more VMs than requests that the limit allows in a second, a VM
+/// may send one request if a hash of VM and replica ranks it among the first VMs. VMs with different lists
+/// still keep to the limit together, because only a VM with a fresh list that is known to the other VMs has a
+/// share.
 class slow_start
 {
   public:
