--- a/include/gingerdyke/proxy/header_names.hpp
+++ b/include/gingerdyke/proxy/header_names.hpp
@@ -37,7 +37,7 @@
 	std::string token_counts;
 
 	/// Segments of the prompt in order: `ID:TOKENS,ID:TOKENS`.
-	std::string prompt_parts;
+	std::string prompt_segments;
 
 	/// Scheduling priority at an engine; 0 is the highest.
 	std::string priority;
@@ -49,7 +49,7 @@
 	std::string load_limit;
 
 	/// `1` in a response of a replica that is draining.
-	std::string leaving;
+	std::string draining;
 
 	/// Session id: requests with the same value belong together.
 	std::string session;
--- a/include/gingerdyke/proxy/unknown_statements.hpp
+++ b/include/gingerdyke/proxy/unknown_statements.hpp
@@ -15,7 +15,7 @@
 enum class statement_source
 {
 	/// Header of a replica's response.
-	answer,
+	response_header,
 	/// Field of a replica's entry in the registry.
 	replica_entry,
 	/// Row of the operators' table.
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -115,7 +115,7 @@
 	const auto statements = read_statements(head, shared_.names(), std::chrono::system_clock::now());
 	for (const auto& name : statements.unknown)
 	{
-		shared_.unknown_names().record(statement_source::answer, name, from.id.str());
+		shared_.unknown_names().record(statement_source::response_header, name, from.id.str());
 	}
 	if (statements.is_draining)
 	{
--- a/src/proxy/unknown_statements.cpp
+++ b/src/proxy/unknown_statements.cpp
@@ -15,7 +15,7 @@
 {
 	switch (source)
 	{
-	case statement_source::answer:
+	case statement_source::response_header:
 		return "answer";
 	case statement_source::replica_entry:
 		return "replica's entry";
--- a/tests/support/proxy_world.hpp
+++ b/tests/support/proxy_world.hpp
@@ -22,7 +22,7 @@
 	names.replica_id = "Replica-Id";
 	names.model = "Model";
 	names.token_counts = "Tokens";
-	names.prompt_parts = "Prompt-Parts";
+	names.prompt_segments = "Prompt-Parts";
 	names.priority = "Priority";
 	names.confidence = "Confidence";
 	names.load_limit = "Load-Limit";
