--- a/include/gingerdyke/proxy/caller_link.hpp
+++ b/include/gingerdyke/proxy/caller_link.hpp
@@ -65,7 +65,7 @@
 	[[nodiscard]] bool read_head();
 	[[nodiscard]] bool read_body();
 	void start_request();
-	void refuse(int status, const std::string& why);
+	void refuse(int status, const std::string& explanation);
 	void write(std::string_view bytes);
 	void write_next();
 	void on_written(const error_code& error);
--- a/include/gingerdyke/proxy/exchange.hpp
+++ b/include/gingerdyke/proxy/exchange.hpp
@@ -31,12 +31,12 @@
 
 	/// Time from sending the request to receiving the response head.
 	duration first_byte{};
-	routing::size_step size;
+	routing::size_step model_step;
 
 	quarantine::run_number run;
 
-	/// How the end of this run is recorded for the quarantine: as given up, unless it is set otherwise before
-	/// the attempt ends.
+	/// How the end of this run is recorded for the quarantine: as abandoned, unless it is set otherwise
+	/// before the attempt ends.
 	quarantine::run_outcome run_outcome{quarantine::run_outcome::abandoned};
 
 	/// Work that this attempt currently adds to the replica's load, in tokens prefilled by the largest model.
--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -62,7 +62,7 @@
 	/// a smaller share, requests would wait while other VMs leave theirs unused.
 	unsigned min_connections = 4;
 
-	/// No attempt starts with less than this remaining, as it could only end too late.
+	/// No attempt starts with less time than this left until the deadline, as it could only end too late.
 	duration min_attempt_time = std::chrono::milliseconds{20};
 
 	/// For how long after the start of a shutdown new streams, and other new requests, are accepted. Accepted
@@ -186,15 +186,15 @@
 	/// limit left.
 	[[nodiscard]] bool may_send(const routing::replica& to, instant now) const;
 
-	/// \brief Records a request sent to a replica, which uses up this VM's shares and may be the first after
-	/// a backoff.
+	/// \brief Records a request sent to a replica. It uses part of this VM's shares of the replica's limits
+	/// and may be the first after a back-off.
 	void record_sent(const routing::replica& to, instant now);
 
 	/// \brief Sets the hook that is called when there is new evidence on a version to report to other VMs.
 	void on_evidence(std::function<void()> hook) { evidence_hook_ = std::move(hook); }
 
 	/// \brief Records a response as evidence for the version shift of the replica's service.
-	void record_response(const routing::replica& from, const rollout::response_sample& answer);
+	void record_response(const routing::replica& from, const rollout::response_sample& sample);
 
 	/// \brief Records a replica's statement that it is draining.
 	/// \param request Id of the request whose response said so, for the log.
@@ -206,12 +206,12 @@
 	/// \brief Detects exits of replica processes and the requests that ran on them.
 	[[nodiscard]] replica_exit_detector& exit_detector() noexcept { return exit_detector_; }
 
-	/// \brief Requests during which replica processes exited, and which of them are held, that is, no longer
-	/// sent to any replica.
+	/// \brief Requests during which replica processes exited, and which of them are quarantined, that is, no
+	/// longer sent to any replica.
 	[[nodiscard]] quarantine::suspect_list& suspects() noexcept { return suspects_; }
 
-	/// \brief Whether a replica runs another request that would be held after one more exit, as far as this
-	/// VM knows.
+	/// \brief Whether a replica runs another request that would be quarantined after one more exit, as far
+	/// as this VM knows.
 	[[nodiscard]] bool runs_another_suspect(
 		const routing::replica& target, const quarantine::request_key& excluded_key, instant now) const;
 
@@ -250,9 +250,9 @@
   private:
 	void on_replica_change(const routing::replica& instance, routing::replica_change change);
 	void on_evacuation(const failure_domain_id& domain, bool is_evacuated);
-	void note_cold(const routing::replica& instance, routing::replica_change change, instant now);
+	void record_cold_state(const routing::replica& instance, routing::replica_change change, instant now);
 	[[nodiscard]] replica_exit_detector::hooks exit_detector_hooks();
-	void on_replica_exit(const replica_exit& end, bool has_exited,
+	void on_replica_exit(const replica_exit& exited, bool has_exited,
 		const std::vector<quarantine::process_instance>& correlated);
 	void run_ready_hooks();
 
--- a/include/gingerdyke/proxy/header_names.hpp
+++ b/include/gingerdyke/proxy/header_names.hpp
@@ -49,7 +49,7 @@
 	std::string load_limit;
 
 	/// `1` in a response of a replica that is draining.
-	std::string draining;
+	std::string draining_flag;
 
 	/// Session id: requests with the same value belong together.
 	std::string session;
--- a/include/gingerdyke/proxy/prompt.hpp
+++ b/include/gingerdyke/proxy/prompt.hpp
@@ -41,6 +41,6 @@
 
 /// \brief Parses the headers that describe a prompt. Malformed values count as not stated.
 /// \param token_counts `PROMPT,GENERATED`, or null.
-/// \param parts `ID:TOKENS,ID:TOKENS`, or null.
-[[nodiscard]] prompt read_prompt(const std::string* token_counts, const std::string* parts);
+/// \param segments `ID:TOKENS,ID:TOKENS`, or null.
+[[nodiscard]] prompt read_prompt(const std::string* token_counts, const std::string* segments);
 } // namespace gingerdyke::proxy
--- a/include/gingerdyke/proxy/replica_end_watch.hpp
+++ b/include/gingerdyke/proxy/replica_end_watch.hpp
@@ -14,7 +14,7 @@
 struct replica_exit
 {
 	routing::replica_ptr replica;
-	quarantine::process_instance life;
+	quarantine::process_instance process;
 	std::vector<quarantine::request_key> requests;
 };
 
@@ -22,8 +22,8 @@
 struct replica_exit_tuning
 {
 	/// Exits within this window have a common cause if there are at least `min_correlated` of them: a request
-	/// that crashes replicas is sent to one after the other. When a rack lost power, all its replicas were
-	/// missed within 15 ms on a quiet network.
+	/// that crashes replicas is sent to one after the other. When a rack lost power, the loss of all its
+	/// replicas was noticed within 15 ms on a quiet network.
 	duration correlation_window = std::chrono::milliseconds{200};
 	std::size_t min_correlated = 3;
 
@@ -39,12 +39,13 @@
 class replica_exit_detector
 {
   public:
-	/// \brief Called for a presumed exit, and then with whether it was one.
+	/// \brief Callbacks for an exit: `presumed` is called first, and `resolved` as soon as it is known
+	/// whether the process has exited.
 	struct hooks
 	{
 		std::function<void(const replica_exit&)> presumed;
 
-		/// \param correlated Process lives that exited or are presumed to have exited at the same time; empty
+		/// \param correlated Processes that exited or are presumed to have exited at the same time; empty
 		/// if this exit was a single one.
 		std::function<void(const replica_exit&, bool has_exited,
 			const std::vector<quarantine::process_instance>& correlated)>
@@ -72,7 +73,7 @@
 	[[nodiscard]] std::optional<replica_exit> presume(const routing::replica_ptr& target, instant now);
 	void begin_probe(const replica_exit& exited);
 	void resolve(const replica_exit& exited, bool has_exited);
-	[[nodiscard]] std::vector<quarantine::process_instance> correlated_lives(instant now);
+	[[nodiscard]] std::vector<quarantine::process_instance> correlated_processes(instant now);
 
 	asio::io_context& context_;
 	hooks hooks_;
@@ -81,7 +82,7 @@
 
 	struct recent_exit
 	{
-		quarantine::process_instance life;
+		quarantine::process_instance process;
 		instant at;
 	};
 
@@ -89,8 +90,8 @@
 	std::vector<recent_exit> recent_exits_;
 	std::vector<std::function<void()>> resolved_hooks_;
 
-	/// Process lives for which a probe is in progress.
-	std::set<quarantine::process_instance> probed_lives_;
+	/// Processes for which a probe is in progress.
+	std::set<quarantine::process_instance> probed_processes_;
 
 	/// Lets the handler of a probe detect that this object was destroyed.
 	std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/include/gingerdyke/proxy/replica_statements.hpp
+++ b/include/gingerdyke/proxy/replica_statements.hpp
@@ -35,8 +35,8 @@
 	std::vector<std::string> unknown;
 };
 
-/// \brief Parses the statements of a replica. Of several load limits the lowest counts, of several backoff
-/// times the longest.
+/// \brief Parses the statements of a replica. Of several load limits the lowest counts, of several
+/// back-off times the longest.
 /// \param time_of_day Current time, for a `Retry-After` that is a date.
 [[nodiscard]] replica_statements read_statements(
 	const response_head& head, const header_names& names, std::chrono::system_clock::time_point time_of_day);
--- a/include/gingerdyke/proxy/request_log.hpp
+++ b/include/gingerdyke/proxy/request_log.hpp
@@ -109,7 +109,7 @@
 
   private:
 	request_log_tuning tuning_;
-	limits::token_bucket lines_;
+	limits::token_bucket line_budget_;
 	request_metrics metrics_;
 	std::uint64_t served_ = 0;
 	std::uint64_t dropped_lines_ = 0;
--- a/include/gingerdyke/proxy/upstream_link.hpp
+++ b/include/gingerdyke/proxy/upstream_link.hpp
@@ -80,7 +80,7 @@
 	[[nodiscard]] bool reusable() const noexcept { return reusable_; }
 
 	/// \brief Whether the connection has carried a complete response before.
-	[[nodiscard]] bool was_used() const noexcept { return responses_ > 0; }
+	[[nodiscard]] bool was_used() const noexcept { return response_count_ > 0; }
 
 	/// \brief How long the replica keeps an idle connection open (`Keep-Alive`); none if not stated.
 	[[nodiscard]] std::optional<duration> keep_alive_time() const noexcept { return keep_alive_; }
@@ -114,7 +114,7 @@
 	std::shared_ptr<const upstream_callbacks> callbacks_;
 	std::function<void()> idle_close_hook_;
 	std::optional<duration> keep_alive_;
-	unsigned responses_ = 0;
+	unsigned response_count_ = 0;
 	bool connected_ = false;
 	bool busy_ = false;
 	bool closed_ = false;
--- a/src/proxy/caller_link.cpp
+++ b/src/proxy/caller_link.cpp
@@ -324,11 +324,11 @@
 	}
 }
 
-void caller_connection::refuse(int status, const std::string& why)
+void caller_connection::refuse(int status, const std::string& explanation)
 {
 	state_ = state::responding;
 	keep_alive_ = false;
-	send({status, {}, {{"Content-Type", "text/plain"}}, why + "\n"});
+	send({status, {}, {{"Content-Type", "text/plain"}}, explanation + "\n"});
 }
 
 void caller_connection::write(std::string_view bytes)
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -21,10 +21,10 @@
 
 std::string seconds_text(duration span)
 {
-	constexpr duration::rep thousandth = 1000;
-	const auto thousandths = span.count() / thousandth;
-	const auto fraction = std::to_string(thousandth + thousandths % thousandth).substr(1);
-	return std::to_string(thousandths / thousandth) + "." + fraction;
+	constexpr duration::rep thousand = 1000;
+	const auto total_ms = span.count() / thousand;
+	const auto fraction = std::to_string(thousand + total_ms % thousand).substr(1);
+	return std::to_string(total_ms / thousand) + "." + fraction;
 }
 } // namespace
 
@@ -120,8 +120,8 @@
 	const auto now = steady_now();
 	if (shared_.suspects().is_near_quarantine(request_key_, now))
 	{
-		// Both requests would be blamed if the process exited: a request that merely ran beside the cause
-		// twice would be held as well.
+		// If a replica's process exited while it ran this request and another one that is near quarantine,
+		// both would be quarantined, even if one of them merely ran beside the cause twice.
 		const auto unshared = choose_replica_among([&](const routing::replica& candidate)
 			{ return !shared_.runs_another_suspect(candidate, request_key_, now); });
 		if (unshared)
@@ -264,7 +264,7 @@
 	attempt_->target = to;
 	attempt_->sent_at = now;
 	attempt_->execution_before = execution_;
-	attempt_->size = model_step_;
+	attempt_->model_step = model_step_;
 	attempt_->run = shared_.exit_detector().runs().begin(*to, request_key_, now);
 	// From here on the replica may run the request, whether or not anything is received from it.
 	execution_ = execution::may_have_run;
@@ -311,9 +311,9 @@
 /// the latter.
 void exchange::release_prefill_work()
 {
-	const auto read = prompt_.input_tokens * model_weight();
-	shared_.selector().record_progress(*attempt_->target, read);
-	attempt_->work -= read;
+	const auto prefilled_work = prompt_.input_tokens * model_weight();
+	shared_.selector().record_progress(*attempt_->target, prefilled_work);
+	attempt_->work -= prefilled_work;
 }
 
 void exchange::end_attempt(bool is_complete)
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -144,7 +144,7 @@
 	const auto& to = *attempt_->target;
 	rollout::response_sample sample;
 	sample.route = route_->id.str();
-	sample.model = route_->models.empty() ? std::string{} : route_->models[attempt_->size.index].str();
+	sample.model = route_->models.empty() ? std::string{} : route_->models[attempt_->model_step.index].str();
 	sample.relative_latency = rollout::relative_first_byte_latency(elapsed, prompt_.input_tokens);
 	sample.replica = routing::process_hash(to);
 	return sample;
@@ -192,8 +192,8 @@
 /// the load rather than the speed of the engine.
 void exchange::record_first_token()
 {
-	constexpr double least_weight = 0.5;
-	if (targets_engine() && model_weight() >= least_weight)
+	constexpr double min_weight = 0.5;
+	if (targets_engine() && model_weight() >= min_weight)
 	{
 		shared_.first_token_times(service_id_)
 			.record(attempt_->queued_work, attempt_->first_byte, steady_now());
@@ -203,7 +203,7 @@
 bool exchange::should_escalate(const response_head& head)
 {
 	const auto* text = head.find(shared_.names().confidence);
-	if (text == nullptr || response_started_ || !attempt_->size.may_escalate || !may_retry())
+	if (text == nullptr || response_started_ || !attempt_->model_step.may_escalate || !may_retry())
 	{
 		return false;
 	}
@@ -216,7 +216,7 @@
 /// the smaller model's answer.
 bool exchange::escalate(double confidence)
 {
-	const auto larger = routing::size_policy::after(*route_, attempt_->size);
+	const auto larger = routing::size_policy::after(*route_, attempt_->model_step);
 	if (!larger)
 	{
 		return false;
@@ -227,7 +227,7 @@
 	escalation_choice_ = escalation_choice{confidence, threshold, expected};
 	if (confidence >= threshold)
 	{
-		model_step_ = attempt_->size;
+		model_step_ = attempt_->model_step;
 		return false;
 	}
 	return true;
@@ -394,9 +394,9 @@
 duration exchange::first_byte_limit() const
 {
 	const auto& tuning = shared_.tuning();
-	const auto share =
+	const auto factor =
 		route_->streams ? tuning.first_byte_timeout_factor : tuning.buffered_response_timeout_factor;
-	return std::max(tuning.min_attempt_timeout, scaled(route_->latency_objective, share));
+	return std::max(tuning.min_attempt_timeout, scaled(route_->latency_objective, factor));
 }
 
 void exchange::arm_attempt_timer(duration span)
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -14,6 +14,7 @@
 	log::write(log::level::info, "replica ejected",
 		{{"replica", id.str()}, {"failure_rate", rate}, {"for_ms", to_milliseconds(span)}});
 }
+
 void log_replica_change(const routing::replica& instance, routing::replica_change change)
 {
 	log::write(log::level::info, "replica",
@@ -40,7 +41,7 @@
 
 void log_backoff(const routing::replica& instance, const std::string& request, duration left)
 {
-	log::write(log::level::info, "replica requested backoff",
+	log::write(log::level::info, "replica requested a back-off",
 		{{"replica", instance.id.str()}, {"service", instance.service.str()},
 			{"for_ms", to_milliseconds(left)}, {"request", request}});
 }
@@ -58,10 +59,10 @@
 	return limits;
 }
 
-void log_unknown_name(statement_source source, const std::string& name, const std::string& who)
+void log_unknown_name(statement_source source, const std::string& name, const std::string& sender)
 {
-	log::write(
-		log::level::warn, "unknown statement", {{"where", name_of(source)}, {"name", name}, {"from", who}});
+	log::write(log::level::warn, "unknown statement",
+		{{"where", name_of(source)}, {"name", name}, {"from", sender}});
 }
 
 rollout::shift_tuning shift_tuning_for(const fleet_bounds& bounds)
@@ -90,31 +91,31 @@
 			{"requests", exited.requests.size()}, {"contents", std::move(keys)}});
 }
 
-void log_held_request(const quarantine::suspicion& suspected, double weight)
+void log_quarantined_request(const quarantine::suspicion& suspected, double weight)
 {
-	log::write(log::level::warn, "request held after replica exits",
+	log::write(log::level::warn, "request quarantined after replica exits",
 		{{"content", suspected.key.str()}, {"ended", suspected.ended.size()}, {"weight", weight},
 			{"survived", suspected.survived.size()}});
 }
 
-void log_version_shift(const rollout::shift_event& news)
+void log_version_shift(const rollout::shift_event& event)
 {
-	const auto& plan = news.plan;
+	const auto& plan = event.plan;
 	json fields{{"service", plan.service.str()}, {"from", plan.from_version}, {"to", plan.to_version},
 		{"state", rollout::name_of(plan.state)}, {"row_version", plan.row.value()}};
-	fields["vms"] = news.summary.vms;
-	fields["old_answers"] = news.summary.old_version.responses;
-	fields["old_failed"] = news.summary.old_version.failed;
-	fields["new_answers"] = news.summary.new_version.responses;
-	fields["new_failed"] = news.summary.new_version.failed;
-	const auto& verdict = news.summary.verdict;
+	fields["vms"] = event.summary.vms;
+	fields["old_answers"] = event.summary.old_version.responses;
+	fields["old_failed"] = event.summary.old_version.failed;
+	fields["new_answers"] = event.summary.new_version.responses;
+	fields["new_failed"] = event.summary.new_version.failed;
+	const auto& verdict = event.summary.verdict;
 	fields["ground"] = rollout::name_of(verdict.reason);
 	fields["where"] = verdict.scope;
 	fields["answers"] = verdict.responses;
 	fields["bad"] = verdict.bad_responses;
 	fields["tolerated"] = verdict.tolerated;
 	fields["evidence"] = verdict.evidence;
-	const auto& proof = news.summary.proof;
+	const auto& proof = event.summary.proof;
 	fields["promoted"] = plan.promoted.has_value();
 	fields["shown_good"] = proof.is_noninferior;
 	fields["bad_answers"] = proof.bad_responses;
@@ -125,12 +126,12 @@
 	fields["doubtful_part"] = proof.has_doubtful_subset;
 	fields["fast_evidence"] = proof.fast_evidence;
 	fields["slow_risk"] = proof.slow_risk;
-	if (!news.suspended)
+	if (!event.suspended)
 	{
 		log::write(log::level::info, "version shift", std::move(fields));
 		return;
 	}
-	fields["told"] = news.follows_peer_verdict;
+	fields["told"] = event.follows_peer_verdict;
 	log::write(log::level::warn, "version suspended", std::move(fields));
 }
 } // namespace
@@ -144,7 +145,7 @@
 		  { on_evacuation(domain, is_evacuated); }),
 	  cold_replicas_(vms_, log_cold_replica), load_limits_(vms_, log_load_limit), backoffs_(log_backoff),
 	  selector_(replicas_, std::move(own_domain), random, log_ejection), pool_(context, names_.request_id),
-	  suspects_(log_held_request), exit_detector_(context, exit_detector_hooks()),
+	  suspects_(log_quarantined_request), exit_detector_(context, exit_detector_hooks()),
 	  unknown_names_(log_unknown_name),
 	  versions_(std::move(random), log_version_shift, shift_tuning_for(bounds_))
 {
@@ -223,9 +224,9 @@
 
 bool gateway::accepts_requests(bool is_stream, instant now) const
 {
-	const auto last =
+	const auto acceptance_time =
 		is_stream ? tuning_.stream_acceptance_while_stopping : tuning_.request_acceptance_while_stopping;
-	return !stop_started_at_ || now - *stop_started_at_ < last;
+	return !stop_started_at_ || now - *stop_started_at_ < acceptance_time;
 }
 
 unavailability gateway::why_unavailable(const service_id& service, instant now) const
@@ -342,9 +343,9 @@
 	}
 }
 
-void gateway::record_response(const routing::replica& from, const rollout::response_sample& answer)
+void gateway::record_response(const routing::replica& from, const rollout::response_sample& sample)
 {
-	versions_.record_response(from.service, from.version, answer, steady_now());
+	versions_.record_response(from.service, from.version, sample, steady_now());
 	if (evidence_hook_ && versions_.has_evidence(from.service))
 	{
 		evidence_hook_();
@@ -376,7 +377,7 @@
 {
 	replica_exit_detector::hooks hooks;
 	hooks.presumed = [this](const replica_exit& exited)
-	{ suspects_.presume(exited.life, exited.requests, steady_now()); };
+	{ suspects_.presume(exited.process, exited.requests, steady_now()); };
 	hooks.resolved = [this](const replica_exit& exited, bool has_exited, const auto& correlated)
 	{ on_replica_exit(exited, has_exited, correlated); };
 	return hooks;
@@ -387,7 +388,7 @@
 {
 	if (!has_exited)
 	{
-		suspects_.retract(exited.life);
+		suspects_.retract(exited.process);
 		return;
 	}
 	const auto now = steady_now();
@@ -397,7 +398,7 @@
 	const auto entry = replicas_.find(exited.replica->id);
 	const bool was_expected = !entry || !replicas_.accepts_requests(*entry);
 	log_replica_exit(exited, was_expected);
-	was_expected ? suspects_.retract(exited.life) : suspects_.confirm(exited.life, correlated, now);
+	was_expected ? suspects_.retract(exited.process) : suspects_.confirm(exited.process, correlated, now);
 	cold_replicas_.assume_cold(*exited.replica, routing::cold_reason::unreachable, now);
 	// Prevents other requests from being sent to a process that would refuse their connections.
 	selector_.record_result(*exited.replica, routing::replica_result::not_connected, duration{0}, now);
@@ -436,7 +437,7 @@
 	}
 }
 
-void gateway::note_cold(const routing::replica& instance, routing::replica_change change, instant now)
+void gateway::record_cold_state(const routing::replica& instance, routing::replica_change change, instant now)
 {
 	const bool has_started =
 		change == routing::replica_change::restarted || change == routing::replica_change::added;
@@ -466,7 +467,7 @@
 	}
 	else
 	{
-		note_cold(instance, change, steady_now());
+		record_cold_state(instance, change, steady_now());
 	}
 	if (change == routing::replica_change::gone || change == routing::replica_change::restarted)
 	{
--- a/src/proxy/prompt.cpp
+++ b/src/proxy/prompt.cpp
@@ -17,43 +17,43 @@
 }
 
 /// Sum of the tokens of segments in the form `ID:TOKENS,ID:TOKENS`.
-double tokens_of(std::string_view parts)
+double tokens_of(std::string_view segments)
 {
 	double sum = 0;
-	while (!parts.empty())
+	while (!segments.empty())
 	{
-		const auto part = parts.substr(0, parts.find(','));
-		const auto colon = part.find(':');
-		sum += colon == std::string_view::npos ? 0 : read_number(part.substr(colon + 1));
-		parts.remove_prefix(std::min(parts.size(), part.size() + 1));
+		const auto segment = segments.substr(0, segments.find(','));
+		const auto colon = segment.find(':');
+		sum += colon == std::string_view::npos ? 0 : read_number(segment.substr(colon + 1));
+		segments.remove_prefix(std::min(segments.size(), segment.size() + 1));
 	}
 	return sum;
 }
 } // namespace
 
-prompt read_prompt(const std::string* token_counts, const std::string* parts)
+prompt read_prompt(const std::string* token_counts, const std::string* segments)
 {
-	prompt read;
+	prompt result;
 	if (token_counts != nullptr)
 	{
 		const std::string_view text = *token_counts;
 		const auto comma = text.find(',');
-		read.input_tokens = read_number(text.substr(0, comma));
+		result.input_tokens = read_number(text.substr(0, comma));
 		if (comma != std::string_view::npos)
 		{
-			read.max_output_tokens = read_number(text.substr(comma + 1));
+			result.max_output_tokens = read_number(text.substr(comma + 1));
 		}
 	}
-	if (parts != nullptr)
+	if (segments != nullptr)
 	{
-		const auto last = parts->rfind(',');
+		const auto last = segments->rfind(',');
 		if (last != std::string::npos)
 		{
-			const auto shared = std::string_view{*parts}.substr(0, last);
-			read.prefix_hash = stable_hash(shared);
-			read.prefix_tokens = tokens_of(shared);
+			const auto shared = std::string_view{*segments}.substr(0, last);
+			result.prefix_hash = stable_hash(shared);
+			result.prefix_tokens = tokens_of(shared);
 		}
 	}
-	return read;
+	return result;
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/replica_end_watch.cpp
+++ b/src/proxy/replica_end_watch.cpp
@@ -4,7 +4,7 @@
 
 namespace gingerdyke::proxy
 {
-/// A connection that carries no request.
+/// The probe connection to a replica; it carries no request.
 struct replica_exit_detector::probe
 {
 	explicit probe(asio::io_context& context) : socket(context), timer(context) {}
@@ -39,13 +39,13 @@
 /// \returns The presumed exit; none if the exit is known or a probe is in progress.
 std::optional<replica_exit> replica_exit_detector::presume(const routing::replica_ptr& target, instant now)
 {
-	const auto life = runs_.instance_of(*target);
-	if (runs_.has_exited(*target) || probed_lives_.contains(life))
+	const auto process = runs_.instance_of(*target);
+	if (runs_.has_exited(*target) || probed_processes_.contains(process))
 	{
 		return std::nullopt;
 	}
-	replica_exit exited{target, life, runs_.running_at(*target, now)};
-	recent_exits_.push_back({life, now});
+	replica_exit exited{target, process, runs_.running_at(*target, now)};
+	recent_exits_.push_back({process, now});
 	hooks_.presumed(exited);
 	return exited;
 }
@@ -59,7 +59,7 @@
 		resolve(exited, false);
 		return;
 	}
-	probed_lives_.insert(exited.life);
+	probed_processes_.insert(exited.process);
 	const auto pending_probe = std::make_shared<probe>(context_);
 	const auto finish = [this, pending_probe, exited, alive = std::weak_ptr<bool>{alive_}](bool has_exited)
 	{
@@ -70,7 +70,7 @@
 		error_code ignored;
 		pending_probe->timer.cancel();
 		pending_probe->socket.close(ignored);
-		probed_lives_.erase(exited.life);
+		probed_processes_.erase(exited.process);
 		resolve(exited, has_exited);
 	};
 	pending_probe->timer.expires_after(tuning_.connect_timeout);
@@ -85,27 +85,28 @@
 	const bool is_new_exit = has_exited && runs_.record_exit(*exited.replica, steady_now());
 	if (!is_new_exit)
 	{
-		std::erase_if(recent_exits_, [&](const recent_exit& recent) { return recent.life == exited.life; });
+		std::erase_if(
+			recent_exits_, [&](const recent_exit& recent) { return recent.process == exited.process; });
 	}
-	hooks_.resolved(exited, is_new_exit, correlated_lives(steady_now()));
+	hooks_.resolved(exited, is_new_exit, correlated_processes(steady_now()));
 	for (const auto& hook : std::exchange(resolved_hooks_, {}))
 	{
 		hook();
 	}
 }
 
-std::vector<quarantine::process_instance> replica_exit_detector::correlated_lives(instant now)
+std::vector<quarantine::process_instance> replica_exit_detector::correlated_processes(instant now)
 {
 	std::erase_if(recent_exits_,
 		[&](const recent_exit& recent) { return now - recent.at > tuning_.correlation_window; });
-	std::vector<quarantine::process_instance> lives;
+	std::vector<quarantine::process_instance> processes;
 	if (recent_exits_.size() >= tuning_.min_correlated)
 	{
 		for (const auto& recent : recent_exits_)
 		{
-			lives.push_back(recent.life);
+			processes.push_back(recent.process);
 		}
 	}
-	return lives;
+	return processes;
 }
 } // namespace gingerdyke::proxy
--- a/src/proxy/replica_statements.cpp
+++ b/src/proxy/replica_statements.cpp
@@ -37,28 +37,28 @@
 	}
 	std::istringstream in{text};
 	in.imbue(std::locale::classic());
-	std::tm parts{};
-	in >> std::get_time(&parts, "%a, %d %b %Y %H:%M:%S GMT");
+	std::tm date_parts{};
+	in >> std::get_time(&date_parts, "%a, %d %b %Y %H:%M:%S GMT");
 	if (in.fail())
 	{
 		return std::nullopt;
 	}
-	const auto then = std::chrono::system_clock::from_time_t(timegm(&parts));
-	return std::max(std::chrono::duration_cast<duration>(then - time_of_day), duration{0});
+	const auto retry_at = std::chrono::system_clock::from_time_t(timegm(&date_parts));
+	return std::max(std::chrono::duration_cast<duration>(retry_at - time_of_day), duration{0});
 }
 
 bool is_unknown(const std::string& name, const header_names& names)
 {
-	const auto begins_name = [&](const std::string& prefix)
+	const auto is_proper_prefix = [&](const std::string& prefix)
 	{
 		return name.size() > prefix.size() &&
 			   equals_ignore_case(std::string_view{name}.substr(0, prefix.size()), prefix);
 	};
-	const auto is_same = [&](const std::string& known) { return equals_ignore_case(name, known); };
+	const auto matches_name = [&](const std::string& known) { return equals_ignore_case(name, known); };
 	const auto& prefixes = names.statement_prefixes;
 	const auto& known = names.known_statements;
-	return std::any_of(prefixes.begin(), prefixes.end(), begins_name) &&
-		   std::none_of(known.begin(), known.end(), is_same);
+	return std::any_of(prefixes.begin(), prefixes.end(), is_proper_prefix) &&
+		   std::none_of(known.begin(), known.end(), matches_name);
 }
 
 void read_field(replica_statements& result, const header_field& field, bool is_refusal,
@@ -74,7 +74,7 @@
 		}
 		result.load_limit = std::min(result.load_limit.value_or(*limit), *limit);
 	}
-	else if (equals_ignore_case(field.name, names.leaving))
+	else if (equals_ignore_case(field.name, names.draining_flag))
 	{
 		result.is_draining = result.is_draining || field.value == "1";
 	}
--- a/src/proxy/request_log.cpp
+++ b/src/proxy/request_log.cpp
@@ -28,7 +28,7 @@
 }
 
 request_log::request_log(instant now, request_log_tuning tuning)
-	: tuning_(tuning), lines_(tuning.rate, tuning.burst, now)
+	: tuning_(tuning), line_budget_(tuning.rate, tuning.burst, now)
 {
 }
 
@@ -39,7 +39,7 @@
 	{
 		return;
 	}
-	if (!lines_.take(1, now))
+	if (!line_budget_.take(1, now))
 	{
 		++dropped_lines_;
 		return;
--- a/src/proxy/request_metrics.cpp
+++ b/src/proxy/request_metrics.cpp
@@ -23,13 +23,13 @@
 
 template <typename Times>
 void write_times(std::ostream& out, const std::string& name, const std::string& label,
-	const std::map<std::string, Times>& all, metrics::histogram Times::*part)
+	const std::map<std::string, Times>& all, metrics::histogram Times::*histogram_member)
 {
 	for (const auto& [value, times] : all)
 	{
-		if ((times.*part).count() > 0)
+		if ((times.*histogram_member).count() > 0)
 		{
-			write_histogram(out, name, write_label(label, value), times.*part);
+			write_histogram(out, name, write_label(label, value), times.*histogram_member);
 		}
 	}
 }
@@ -42,9 +42,9 @@
 	{
 		++reasons_[record.reason];
 	}
-	const bool was_answered =
+	const bool has_response =
 		record.outcome == request_outcome::served || record.outcome == request_outcome::failed_by_replica;
-	if (!was_answered)
+	if (!has_response)
 	{
 		return;
 	}
--- a/src/proxy/upstream_link.cpp
+++ b/src/proxy/upstream_link.cpp
@@ -284,7 +284,7 @@
 		start_parser();
 		return;
 	}
-	++responses_;
+	++response_count_;
 	// A connection is not reused if the response came before the request was sent, or was followed by further
 	// bytes.
 	reusable_ = reusable_ && request_written_ && buffer_.size() == 0;
--- a/tests/platform/unknown_statements.cpp
+++ b/tests/platform/unknown_statements.cpp
@@ -20,8 +20,8 @@
 		}};
 	for (int i = 0; i < 1000; ++i)
 	{
-		unknown.record(
-			statement_source::response_header, "Server-" + std::to_string(i % 500) + std::string(1000, 'x'), "r1");
+		unknown.record(statement_source::response_header,
+			"Server-" + std::to_string(i % 500) + std::string(1000, 'x'), "r1");
 	}
 	CHECK(reported == 64);
 	CHECK(unknown.count() == 1000);
--- a/tests/proxy/replica_end_watch.cpp
+++ b/tests/proxy/replica_end_watch.cpp
@@ -41,11 +41,11 @@
 	proxy::replica_exit_detector detector{
 		context, {[this](const proxy::replica_exit&) { ++presumed_count; },
 					 [this](const proxy::replica_exit& exited, bool has_exited,
-						 const std::vector<process_instance>& lives)
+						 const std::vector<process_instance>& processes)
 					 {
 						 CHECK(exited.requests == std::vector{request_key{"q"}});
 						 resolved.push_back(has_exited);
-						 correlated = lives.size();
+						 correlated = processes.size();
 					 }}};
 };
 } // namespace
--- a/tests/support/proxy_world.hpp
+++ b/tests/support/proxy_world.hpp
@@ -26,7 +26,7 @@
 	names.priority = "Priority";
 	names.confidence = "Confidence";
 	names.load_limit = "Load-Limit";
-	names.leaving = "Leaving";
+	names.draining_flag = "Leaving";
 	names.session = "Session";
 	names.last_event_id = "Last-Event-Id";
 	names.key_scheme = "Token";
