--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -41,7 +41,7 @@
 
 void log_backoff(const routing::replica& instance, const std::string& request, duration left)
 {
-	log::write(log::level::info, "replica requested a back-off",
+	log::write(log::level::info, "replica asked for a back-off",
 		{{"replica", instance.id.str()}, {"service", instance.service.str()},
 			{"for_ms", to_milliseconds(left)}, {"request", request}});
 }
--- a/tests/proxy/caller_link.cpp
+++ b/tests/proxy/caller_link.cpp
@@ -50,7 +50,7 @@
 	CHECK(replica.requests().front().ends_with("Content-Length: 5\r\n\r\nabcde"));
 }
 
-TEST_CASE("pipelined requests are answered in order", "[caller]")
+TEST_CASE("pipelined requests get their responses in order", "[caller]")
 {
 	proxy_world world;
 	scripted_replica replica{world.context, echo_path};
--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// A request that crashes each engine that runs it must not be sent on and on. Without a quarantine every
-// repetition by the caller, on any VM, was a new request that crashed as many replicas as its route has
-// attempts: in a deployment of 7 VMs and 18 engines, one request crashed 68 engines within 20 s, and in the
-// worst second 28 of 87 requests were served in time.
+// A request that crashes each engine that runs it must not be sent to one engine after the other. Without a
+// quarantine every repetition by the caller, on any VM, was a new request that crashed as many replicas as
+// its route has attempts: in a deployment of 7 VMs and 18 engines, one request crashed 68 engines within 20
+// s, and in the worst second 28 of 87 requests were served in time.
 #include "../support/controlled_vm.hpp"
 #include "../support/crashing_fleet.hpp"
 #include <sstream>
@@ -36,12 +36,12 @@
 	return out.str();
 }
 
-bool has_one_held_request(proxy_world& world)
+bool has_one_quarantined_request(proxy_world& world)
 {
 	return metrics_of(world).find("\ngingerdyke_requests_held 1\n") != std::string::npos;
 }
 
-/// One route that is not repeatable, to the service of the fleet.
+/// A configuration with one route, whose requests are not repeatable, to the service of the fleet.
 json configuration()
 {
 	return {{"version", 1},
@@ -61,7 +61,7 @@
 }
 
 /// Several VMs, each on an event loop of its own, with one registry. The replicas run on the event loop of
-/// `home`.
+/// `backend`.
 struct deployment
 {
 	explicit deployment(std::size_t vms)
@@ -85,9 +85,9 @@
 		run_until([&] { return world.gateway().ready(); });
 	}
 
-	void run_until(const std::function<bool()>& holds)
+	void run_until(const std::function<bool()>& condition)
 	{
-		test::run_until(home.context,
+		test::run_until(backend.context,
 			[&]
 			{
 				for (const auto& world : worlds)
@@ -95,22 +95,22 @@
 					world->context.restart();
 					world->context.poll();
 				}
-				return holds();
+				return condition();
 			});
 	}
 
 	std::string ask(std::size_t vm, const std::string& request)
 	{
-		scripted_caller caller{home.context, worlds[vm]->port()};
+		scripted_caller caller{backend.context, worlds[vm]->port()};
 		caller.send(request);
 		run_until([&] { return caller.has_answer() || caller.ended(); });
 		return caller.received();
 	}
 
 	/// Event loop of the registry and the replicas.
-	proxy_world home;
-	platform::standin::registry registry{home.context};
-	crashing_fleet fleet{home.context, 16, respond_ok};
+	proxy_world backend;
+	platform::standin::registry registry{backend.context};
+	crashing_fleet fleet{backend.context, 16, respond_ok};
 	std::vector<std::unique_ptr<proxy_world>> worlds;
 	std::vector<std::unique_ptr<controlled_vm>> controls;
 };
@@ -122,41 +122,42 @@
 	proxy_world world;
 	crashing_fleet fleet{world.context, 10, respond_ok};
 	world.start(plain_replicas(fleet));
-	std::string answer;
+	std::string response;
 	for (int i = 0; i < 6; ++i)
 	{
-		answer = world.ask(request_to("POST", "/safe/a", crashing_body));
+		response = world.ask(request_to("POST", "/safe/a", crashing_body));
 	}
 	CHECK(fleet.crashed() <= max_exits);
-	// The response is final: it does not ask the caller to retry.
-	CHECK(answer.starts_with("HTTP/1.1 502 "));
-	CHECK(answer.find("Retry-After") == std::string::npos);
+	// The response does not ask the caller to retry.
+	CHECK(response.starts_with("HTTP/1.1 502 "));
+	CHECK(response.find("Retry-After") == std::string::npos);
 	CHECK(world.ask(request_to("POST", "/safe/a", "another prompt")).ends_with("well"));
 }
 
-TEST_CASE("a request that crashed one replica through each of three VMs is held on all VMs, including one "
-		  "that starts later",
+TEST_CASE(
+	"a request that crashed one replica through each of three VMs is quarantined on all VMs, including one "
+	"that starts later",
 	"[quarantine]")
 {
 	deployment vms{3};
 	for (std::size_t vm = 0; vm < 3; ++vm)
 	{
-		const auto answer = vms.ask(vm, request_to("POST", "/unsafe/a", crashing_body));
-		CHECK(answer.starts_with("HTTP/1.1 502 "));
+		const auto response = vms.ask(vm, request_to("POST", "/unsafe/a", crashing_body));
+		CHECK(response.starts_with("HTTP/1.1 502 "));
 	}
 	CHECK(vms.fleet.crashed() == max_exits);
 	vms.run_until(
 		[&]
 		{
 			return std::all_of(vms.worlds.begin(), vms.worlds.end(),
-				[](const auto& world) { return has_one_held_request(*world); });
+				[](const auto& world) { return has_one_quarantined_request(*world); });
 		});
 	vms.add_vm();
-	vms.run_until([&] { return has_one_held_request(*vms.worlds.back()); });
+	vms.run_until([&] { return has_one_quarantined_request(*vms.worlds.back()); });
 	for (std::size_t vm = 0; vm < 4; ++vm)
 	{
-		const auto answer = vms.ask(vm, request_to("POST", "/unsafe/a", crashing_body));
-		CHECK(answer.starts_with("HTTP/1.1 502 "));
+		const auto response = vms.ask(vm, request_to("POST", "/unsafe/a", crashing_body));
+		CHECK(response.starts_with("HTTP/1.1 502 "));
 	}
 	CHECK(vms.fleet.crashed() == max_exits);
 }
@@ -173,17 +174,17 @@
 			draining.leaving = true;
 			world.gateway().replicas().put(draining, proxy::steady_now());
 		});
-	for (std::size_t asked = 1; asked <= 5; ++asked)
+	for (std::size_t sent_count = 1; sent_count <= 5; ++sent_count)
 	{
 		static_cast<void>(world.ask(request_to("POST", "/unsafe/a", crashing_body)));
-		CHECK(fleet.crashed() == asked);
+		CHECK(fleet.crashed() == sent_count);
 	}
 }
 
 // A crashed replica restarted after 1.2 s, and the same request reached it within the 0.15 s before the VMs
-// knew its new registry entry. They took it for the process whose exit they had recorded and did not count
-// the second crash: one request crashed 14 replicas, 4 of them more than 3 s after the third. The log showed
-// the replica as restarted, then exited with 0 requests.
+// knew its new registry entry. They took the restarted process for the one whose exit they had recorded and
+// did not count the second crash: one request crashed 14 replicas, 4 of them more than 3 s after the third.
+// The log showed the replica as restarted, then exited with 0 requests.
 TEST_CASE(
 	"a restarted replica that crashes under a request again counts again, even before its new entry is known",
 	"[quarantine]")
@@ -202,11 +203,11 @@
 		}
 	}
 	CHECK(exits == max_exits);
-	CHECK(has_one_held_request(world));
+	CHECK(has_one_quarantined_request(world));
 }
 
-TEST_CASE(
-	"two requests that would be held after one more exit are not sent to the same replica", "[quarantine]")
+TEST_CASE("two requests that would be quarantined after one more exit are not sent to the same replica",
+	"[quarantine]")
 {
 	proxy_world world;
 	scripted_replica first{world.context, [](const std::string&) { return scripted_answer{}; }};
@@ -217,10 +218,12 @@
 	{
 		keys.push_back(quarantine::key_of({"POST", "example", "/unsafe/a", "", body}));
 	}
-	for (const int life : {1, 2})
+	for (const int process_number : {1, 2})
 	{
-		world.gateway().suspects().presume(quarantine::process_instance{life}, keys, proxy::steady_now());
-		world.gateway().suspects().confirm(quarantine::process_instance{life}, {}, proxy::steady_now());
+		world.gateway().suspects().presume(
+			quarantine::process_instance{process_number}, keys, proxy::steady_now());
+		world.gateway().suspects().confirm(
+			quarantine::process_instance{process_number}, {}, proxy::steady_now());
 	}
 	scripted_caller a{world.context, world.port()};
 	scripted_caller b{world.context, world.port()};
--- a/tests/proxy/draining_replica.cpp
+++ b/tests/proxy/draining_replica.cpp
@@ -83,8 +83,8 @@
 		[](const std::string&) { return scripted_answer{answer_with("200 OK", "x", "Leaving: 1\r\n")}; }};
 	world.start({{"plain", &draining}});
 	REQUIRE(world.ask(request_to("GET", "/safe/a")).starts_with("HTTP/1.1 200 "));
-	const auto answer = world.ask(request_to("GET", "/safe/a"));
-	CHECK(answer.starts_with("HTTP/1.1 503 "));
-	CHECK(answer.find("Retry-After: ") != std::string::npos);
+	const auto response = world.ask(request_to("GET", "/safe/a"));
+	CHECK(response.starts_with("HTTP/1.1 503 "));
+	CHECK(response.find("Retry-After: ") != std::string::npos);
 	CHECK(draining.requests().size() == 1);
 }
--- a/tests/proxy/evacuated_domain.cpp
+++ b/tests/proxy/evacuated_domain.cpp
@@ -19,19 +19,19 @@
 	return entry;
 }
 
-/// Two replicas of a failure domain that is evacuated as soon as a replica receives a request, and one
-/// replica of another failure domain.
+/// Two replicas of a failure domain that is evacuated as soon as any of the three replicas receives a
+/// request, and one replica of another failure domain.
 struct evacuation_during_request
 {
 	evacuation_during_request(
-		const char* service, const scripted_answer& first_answer, const scripted_answer& later_answer)
-		: answer{[this, first_answer, later_answer](const std::string&)
+		const char* service, const scripted_answer& first_response, const scripted_answer& later_response)
+		: respond{[this, first_response, later_response](const std::string&)
 			  {
 				  const bool is_first = request_count++ == 0;
 				  world.gateway().evacuated().add(failure_domain_id{"b"});
-				  return is_first ? first_answer : later_answer;
+				  return is_first ? first_response : later_response;
 			  }},
-		  first{world.context, answer}, sibling{world.context, answer}, other{world.context, answer}
+		  first{world.context, respond}, sibling{world.context, respond}, other{world.context, respond}
 	{
 		world.start({});
 		world.gateway().set_replicas(
@@ -42,7 +42,7 @@
 
 	proxy_world world;
 	int request_count = 0;
-	scripted_replica::script answer;
+	scripted_replica::script respond;
 	scripted_replica first;
 	scripted_replica sibling;
 	scripted_replica other;
--- a/tests/proxy/event_stream.cpp
+++ b/tests/proxy/event_stream.cpp
@@ -8,19 +8,19 @@
 TEST_CASE("events are parsed alike however the stream is split", "[events]")
 {
 	const std::string bytes = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n";
-	const auto cut = GENERATE(range(std::size_t{1}, std::size_t{47}));
+	const auto part_size = GENERATE(range(std::size_t{1}, std::size_t{47}));
 	event_stream stream;
-	std::string passed;
-	for (std::size_t at = 0; at < bytes.size(); at += cut)
+	std::string forwarded;
+	for (std::size_t at = 0; at < bytes.size(); at += part_size)
 	{
-		const auto batch = stream.feed(std::string_view{bytes}.substr(at, cut));
+		const auto batch = stream.feed(std::string_view{bytes}.substr(at, part_size));
 		REQUIRE_FALSE(batch.is_broken);
 		for (const auto& event : batch.events)
 		{
-			passed += event;
+			forwarded += event;
 		}
 	}
-	CHECK(passed == bytes);
+	CHECK(forwarded == bytes);
 	CHECK(stream.last_id() == 3);
 	CHECK(stream.at_event_boundary());
 }
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -23,13 +23,13 @@
 	proxy_world world;
 	scripted_replica replica{world.context, respond_with(answer_with("201 Made", "hello", "X-Other: 1\r\n"))};
 	world.start({{"plain", &replica}});
-	const auto answer = world.ask(request_to("POST", "/unsafe/a?b=%20c", "body",
+	const auto response = world.ask(request_to("POST", "/unsafe/a?b=%20c", "body",
 		"X-Kept: 1\r\nConnection: X-Hop\r\nX-Hop: 2\r\nHold: forged\r\nWorkspace: forged\r\nPriority: "
 		"0\r\n"));
-	CHECK(answer.starts_with("HTTP/1.1 201 Made\r\n"));
-	CHECK(contains(answer, "Signature: s\r\n"));
-	CHECK(contains(answer, "X-Other: 1\r\n"));
-	CHECK(answer.ends_with("\r\n\r\nhello"));
+	CHECK(response.starts_with("HTTP/1.1 201 Made\r\n"));
+	CHECK(contains(response, "Signature: s\r\n"));
+	CHECK(contains(response, "X-Other: 1\r\n"));
+	CHECK(response.ends_with("\r\n\r\nhello"));
 	REQUIRE(replica.requests().size() == 1);
 	const auto& sent = replica.requests().front();
 	CHECK(sent.starts_with("POST /unsafe/a?b=%20c HTTP/1.1\r\n"));
@@ -53,8 +53,8 @@
 							}};
 	world.data.routes.front().attempts = 3;
 	world.start({{"plain", &first}, {"plain", &second}});
-	const auto answer = world.ask(request_to("POST", "/unsafe/a", "body"));
-	CHECK(answer.starts_with("HTTP/1.1 502 "));
+	const auto response = world.ask(request_to("POST", "/unsafe/a", "body"));
+	CHECK(response.starts_with("HTTP/1.1 502 "));
 	CHECK(first.requests().size() + second.requests().size() == 1);
 }
 
@@ -63,8 +63,8 @@
 	proxy_world world;
 	scripted_replica replica{world.context, respond_with("")};
 	world.start({{"plain", &replica}});
-	const auto answer = world.ask(request_to("POST", "/unsafe/a", "body", "Deadline-Ms: 100\r\n"));
-	CHECK(answer.starts_with("HTTP/1.1 504 "));
+	const auto response = world.ask(request_to("POST", "/unsafe/a", "body", "Deadline-Ms: 100\r\n"));
+	CHECK(response.starts_with("HTTP/1.1 504 "));
 	CHECK(replica.requests().size() == 1);
 }
 
@@ -90,9 +90,9 @@
 	proxy_world world;
 	scripted_replica replica{world.context, respond_with(answer_with("503 Full", "", "Not-Run: 1\r\n"))};
 	world.start({{"plain", &replica}});
-	const auto answer = world.ask(request_to("POST", "/unsafe/a", "body"));
-	CHECK(answer.starts_with("HTTP/1.1 503 "));
-	CHECK(contains(answer, "Retry-After: 0.250\r\n"));
+	const auto response = world.ask(request_to("POST", "/unsafe/a", "body"));
+	CHECK(response.starts_with("HTTP/1.1 503 "));
+	CHECK(contains(response, "Retry-After: 0.250\r\n"));
 }
 
 TEST_CASE(
@@ -117,7 +117,7 @@
 	CHECK(good.requests().size() == 4);
 }
 
-TEST_CASE("a request that comes before the VM is ready waits until it is", "[exchange]")
+TEST_CASE("a request that arrives before the VM is ready waits until it is", "[exchange]")
 {
 	proxy_world world;
 	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
@@ -133,9 +133,9 @@
 TEST_CASE("a request is refused as not run if the VM does not become ready in time", "[exchange]")
 {
 	proxy_world world;
-	const auto answer = world.ask(request_to("POST", "/unsafe/a", "body"));
-	CHECK(answer.starts_with("HTTP/1.1 503 "));
-	CHECK(contains(answer, "Retry-After: 0.250\r\n"));
+	const auto response = world.ask(request_to("POST", "/unsafe/a", "body"));
+	CHECK(response.starts_with("HTTP/1.1 503 "));
+	CHECK(contains(response, "Retry-After: 0.250\r\n"));
 }
 
 TEST_CASE("a repeatable request is sent to another replica after a failure", "[exchange]")
@@ -161,18 +161,18 @@
 	scripted_replica first{world.context, respond_with(answer_with("500 Broken", "no"))};
 	scripted_replica second{world.context, respond_with(answer_with("500 Broken", "no"))};
 	world.start({{"plain", &first}, {"plain", &second}});
-	const auto answer = world.ask(request_to("GET", "/safe/a"));
-	CHECK(answer.starts_with("HTTP/1.1 500 Broken\r\n"));
-	CHECK(contains(answer, "Signature: s\r\n"));
+	const auto response = world.ask(request_to("GET", "/safe/a"));
+	CHECK(response.starts_with("HTTP/1.1 500 Broken\r\n"));
+	CHECK(contains(response, "Signature: s\r\n"));
 	CHECK(first.requests().size() + second.requests().size() == 2);
 }
 
 TEST_CASE("a late response to an earlier request is skipped", "[exchange]")
 {
 	proxy_world world;
-	auto foreign = answer_with("200 OK", "foreign");
-	foreign.replace(foreign.find("q1"), 2, "q0");
-	scripted_replica replica{world.context, respond_with(foreign + answer_with("200 OK", "mine"))};
+	auto late_response = answer_with("200 OK", "foreign");
+	late_response.replace(late_response.find("q1"), 2, "q0");
+	scripted_replica replica{world.context, respond_with(late_response + answer_with("200 OK", "mine"))};
 	world.start({{"plain", &replica}});
 	CHECK(world.ask(request_to("POST", "/unsafe/a", "body")).ends_with("mine"));
 }
@@ -180,9 +180,9 @@
 TEST_CASE(
 	"a response without a signature, or with a content encoding, is not forwarded as a success", "[exchange]")
 {
-	const auto more = GENERATE(std::string{"Content-Encoding: gzip\r\n"}, std::string{});
-	auto bytes = answer_with("200 OK", "x", more);
-	if (more.empty())
+	const auto extra_headers = GENERATE(std::string{"Content-Encoding: gzip\r\n"}, std::string{});
+	auto bytes = answer_with("200 OK", "x", extra_headers);
+	if (extra_headers.empty())
 	{
 		bytes.erase(bytes.find("Signature: s\r\n"), std::string{"Signature: s\r\n"}.size());
 	}
@@ -216,8 +216,8 @@
 				"HTTP/1.1 200 OK\r\nRequest-Id: q1\r\nSignature: s\r\n\r\nall", !resets, resets};
 		}};
 	world.start({{"plain", &replica}});
-	const auto answer = world.ask(request_to("POST", "/unsafe/a", "body"));
-	CHECK(answer.starts_with(resets ? "HTTP/1.1 502 " : "HTTP/1.1 200 "));
+	const auto response = world.ask(request_to("POST", "/unsafe/a", "body"));
+	CHECK(response.starts_with(resets ? "HTTP/1.1 502 " : "HTTP/1.1 200 "));
 }
 
 TEST_CASE("bytes after a complete response close the connection and are not used as a response", "[exchange]")
@@ -343,10 +343,10 @@
 	world.start({{"engine", &replica}});
 	// At the initially assumed speed of 12 tokens per millisecond this takes 65 s; the time limit is 30 s.
 	world.gateway().selector().record_sent(*world.gateway().replicas().find(replica_id{"r0"}), 780000);
-	const auto answer = world.ask(request_to("POST", "/stream/a", "p", "Model: *\r\n"));
-	CHECK(answer.starts_with("HTTP/1.1 503"));
+	const auto response = world.ask(request_to("POST", "/stream/a", "p", "Model: *\r\n"));
+	CHECK(response.starts_with("HTTP/1.1 503"));
 	// In 45 s it would be served within its objective of 20 s.
-	CHECK(contains(answer, "Retry-After: 45.000"));
+	CHECK(contains(response, "Retry-After: 45.000"));
 	CHECK(replica.requests().empty());
 	CHECK(world.log().count(proxy::request_outcome::refused) == 1);
 }
@@ -436,7 +436,8 @@
 	CHECK(world.gateway().replicas().size() == 0);
 }
 
-TEST_CASE("API keys: known, unknown, and not to be trusted", "[exchange][keys]")
+TEST_CASE("requests with an unknown API key are refused, those with a known one are forwarded without it",
+	"[exchange][keys]")
 {
 	proxy_world world{duration{std::chrono::milliseconds{50}}};
 	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
@@ -459,13 +460,13 @@
 	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.data.needs_keys = true;
 	world.start({{"plain", &replica}});
-	const auto answer = world.ask(request_to("GET", "/safe/a", "", "Authorization: Token any\r\n"));
-	CHECK(answer.starts_with("HTTP/1.1 503 "));
-	CHECK(contains(answer, "Retry-After"));
+	const auto response = world.ask(request_to("GET", "/safe/a", "", "Authorization: Token any\r\n"));
+	CHECK(response.starts_with("HTTP/1.1 503 "));
+	CHECK(contains(response, "Retry-After"));
 	CHECK(replica.requests().empty());
 }
 
-TEST_CASE("requests are refused without a configuration, and answered with 404 without a route", "[exchange]")
+TEST_CASE("requests get a 503 without a configuration, and a 404 without a route", "[exchange]")
 {
 	proxy_world world;
 	CHECK(world.ask(request_to("GET", "/safe/a")).starts_with("HTTP/1.1 503 "));
@@ -477,8 +478,8 @@
 TEST_CASE("a VM with a stale configuration does not report a route or a key as nonexistent", "[exchange]")
 {
 	// A VM responded with 404 to requests for a route that had been added 5 s before; at most 3 s are
-	// allowed. Whatever a VM did not know was reported as nonexistent, however old its configuration: the log
-	// showed reason "no route" with a config_age_ms of 5,120 to 9,224.
+	// allowed. The VM reported every route that it did not know as nonexistent, however old its
+	// configuration: the log showed reason "no route" with a config_age_ms of 5,120 to 9,224.
 	proxy_world world{{}, duration{0}};
 	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.data.needs_keys = true;
@@ -491,7 +492,7 @@
 	CHECK(replica.requests().empty());
 }
 
-TEST_CASE("a VM that is being stopped takes no late streams", "[exchange]")
+TEST_CASE("a VM does not accept new streams late in its shutdown", "[exchange]")
 {
 	proxy_world world;
 	scripted_replica replica{world.context, respond_with("")};
--- a/tests/proxy/load_limit.cpp
+++ b/tests/proxy/load_limit.cpp
@@ -12,8 +12,8 @@
 	return [=](const std::string&) { return scripted_answer{answer_with(status, "x", extra_headers)}; };
 }
 
-/// Requests that a VM which other VMs do not know yet may send to a replica with a load limit, after the
-/// response that announced it.
+/// Number of requests that a VM, while other VMs do not know it yet, may send to a replica after the response
+/// that announced the replica's load limit.
 constexpr std::size_t max_after_announcement = 1;
 } // namespace
 
@@ -24,7 +24,7 @@
 	scripted_replica limited{world.context, respond_with("200 OK", "Load-Limit: 1.5\r\n")};
 	scripted_replica free{world.context, respond_with("200 OK", "")};
 	world.start({{"plain", &limited}, {"plain", &free}});
-	// It is the nearer replica, which would be preferred without its limit.
+	// The limited replica is the nearer one, which would be preferred without its limit.
 	auto nearer = *world.gateway().replicas().find(replica_id{"r0"});
 	nearer.domain = failure_domain_id{"a"};
 	world.gateway().replicas().put(nearer, proxy::steady_now());
@@ -55,13 +55,13 @@
 	scripted_replica limited{world.context, respond_with("200 OK", "Load-Limit: 0.5\r\n")};
 	world.start({{"plain", &limited}});
 	REQUIRE(world.ask(request_to("GET", "/safe/a")).starts_with("HTTP/1.1 200 "));
-	std::string answer;
+	std::string response;
 	for (std::size_t i = 0; i <= max_after_announcement; ++i)
 	{
-		answer = world.ask(request_to("GET", "/safe/a"));
+		response = world.ask(request_to("GET", "/safe/a"));
 	}
-	CHECK(answer.starts_with("HTTP/1.1 503 "));
-	CHECK(answer.find("Retry-After: ") != std::string::npos);
+	CHECK(response.starts_with("HTTP/1.1 503 "));
+	CHECK(response.find("Retry-After: ") != std::string::npos);
 	CHECK(limited.requests().size() <= 1 + max_after_announcement);
 }
 
--- a/tests/proxy/replica_backoff.cpp
+++ b/tests/proxy/replica_backoff.cpp
@@ -18,7 +18,7 @@
 }
 } // namespace
 
-TEST_CASE("a replica that requests a backoff receives nothing until it is over", "[exchange][rest]")
+TEST_CASE("a replica that asks for a back-off receives nothing until it is over", "[exchange][rest]")
 {
 	proxy_world world;
 	scripted_replica backing_off{world.context, respond_with(refusal("30"))};
@@ -34,7 +34,7 @@
 	CHECK(backing_off.requests().size() == 1);
 }
 
-TEST_CASE("a replica receives requests again once its backoff is over", "[exchange][rest]")
+TEST_CASE("a replica receives requests again once its back-off is over", "[exchange][rest]")
 {
 	proxy_world world;
 	int request_count = 0;
@@ -47,7 +47,7 @@
 	CHECK(request_count == 2);
 }
 
-TEST_CASE("if all replicas of a service request a backoff, requests are refused until the first one is over",
+TEST_CASE("if all replicas of a service ask for a back-off, requests are refused until the first one is over",
 	"[exchange][rest]")
 {
 	proxy_world world;
@@ -57,11 +57,11 @@
 	static_cast<void>(world.ask(request_to("GET", "/safe/a")));
 	for (int i = 0; i < 5; ++i)
 	{
-		const auto answer = world.ask(request_to("GET", "/safe/a"));
-		CHECK(answer.starts_with("HTTP/1.1 503 "));
-		const auto found = answer.find("Retry-After: ");
+		const auto response = world.ask(request_to("GET", "/safe/a"));
+		CHECK(response.starts_with("HTTP/1.1 503 "));
+		const auto found = response.find("Retry-After: ");
 		REQUIRE(found != std::string::npos);
-		const auto seconds = std::stod(answer.substr(found + std::string{"Retry-After: "}.size()));
+		const auto seconds = std::stod(response.substr(found + std::string{"Retry-After: "}.size()));
 		CHECK(seconds > 19);
 		CHECK(seconds < 31);
 	}
--- a/tests/proxy/suspended_vm.cpp
+++ b/tests/proxy/suspended_vm.cpp
@@ -46,13 +46,13 @@
 TEST_CASE("a suspension is reported once, with its length", "[suspended]")
 {
 	using std::chrono::milliseconds;
-	suspend_detector watch;
-	CHECK_FALSE(watch.update(seconds{10}, seconds{10}));
-	CHECK_FALSE(watch.update(seconds{11}, seconds{11}));
-	CHECK(watch.update(seconds{18}, seconds{12}) == seconds{6});
-	CHECK_FALSE(watch.update(seconds{19}, seconds{13}));
+	suspend_detector detector;
+	CHECK_FALSE(detector.update(seconds{10}, seconds{10}));
+	CHECK_FALSE(detector.update(seconds{11}, seconds{11}));
+	CHECK(detector.update(seconds{18}, seconds{12}) == seconds{6});
+	CHECK_FALSE(detector.update(seconds{19}, seconds{13}));
 	// A difference as small as the delay between reading the two clocks is no suspension.
-	CHECK_FALSE(watch.update(seconds{20} + milliseconds{1}, seconds{14}));
+	CHECK_FALSE(detector.update(seconds{20} + milliseconds{1}, seconds{14}));
 }
 
 TEST_CASE(
@@ -65,10 +65,10 @@
 	world.start({{"plain", &replica}, {"plain", &other}});
 	scripted_caller caller{world.context, world.port()};
 	caller.send(request_to("POST", "/safe/a", "body", "Deadline-Ms: 25000\r\n"));
-	const auto sent = [&] { return replica.requests().size() + other.requests().size(); };
-	world.run_until([&] { return sent() == 1; });
+	const auto request_count = [&] { return replica.requests().size() + other.requests().size(); };
+	world.run_until([&] { return request_count() == 1; });
 	suspended_clock::sleep(seconds{26});
 	world.run_until([&] { return caller.has_answer(); });
 	CHECK(caller.received().starts_with("HTTP/1.1 504 "));
-	CHECK(sent() == 1);
+	CHECK(request_count() == 1);
 }
