--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // A request that crashes each engine that runs it must not be sent to one engine after the other. Without a
 // quarantine every repetition by the caller, on any VM, was a new request that crashed as many replicas as
-// its route has attempts: in a deployment of 7 VMs and 18 engines, one request crashed 68 engines within 20
-// s, and in the worst second 28 of 87 requests were served in time.
+// its route has attempts: in a deployment of 7 VMs and 18 engines, one request crashed 68 engines within
+// 20 s, and in the worst second 28 of 87 requests were served in time.
 #include "../support/controlled_vm.hpp"
 #include "../support/crashing_fleet.hpp"
 #include <sstream>
@@ -128,7 +128,7 @@
 		response = world.ask(request_to("POST", "/safe/a", crashing_body));
 	}
 	CHECK(fleet.crashed() <= max_exits);
-	// The response does not ask the caller to retry.
+	// The response is final: it does not ask the caller to retry.
 	CHECK(response.starts_with("HTTP/1.1 502 "));
 	CHECK(response.find("Retry-After") == std::string::npos);
 	CHECK(world.ask(request_to("POST", "/safe/a", "another prompt")).ends_with("well"));
--- a/tests/proxy/exchange.cpp
+++ b/tests/proxy/exchange.cpp
@@ -478,8 +478,8 @@
 TEST_CASE("a VM with a stale configuration does not report a route or a key as nonexistent", "[exchange]")
 {
 	// A VM responded with 404 to requests for a route that had been added 5 s before; at most 3 s are
-	// allowed. The VM reported every route that it did not know as nonexistent, however old its
-	// configuration: the log showed reason "no route" with a config_age_ms of 5,120 to 9,224.
+	// allowed. The VM reported every route and key that it did not know as nonexistent, however old
+	// its configuration: the log showed reason "no route" with a config_age_ms of 5,120 to 9,224.
 	proxy_world world{{}, duration{0}};
 	scripted_replica replica{world.context, respond_with(answer_with("200 OK", "x"))};
 	world.data.needs_keys = true;
