--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -201,7 +201,7 @@
 	void record_draining(const routing::replica& from, const std::string& request);
 
 	/// \brief Records a malformed statement of a replica.
-	void record_unreadable_statement(const routing::replica& from, const std::string& value);
+	void record_malformed_statement(const routing::replica& from, const std::string& value);
 
 	/// \brief Detects exits of replica processes and the requests that ran on them.
 	[[nodiscard]] replica_exit_detector& exit_detector() noexcept { return exit_detector_; }
@@ -273,11 +273,11 @@
 	quarantine::suspect_list suspects_;
 	replica_exit_detector exit_detector_;
 	std::uint64_t replica_exits_ = 0;
-	std::uint64_t unreadable_statements_ = 0;
+	std::uint64_t malformed_statements_ = 0;
 	unknown_statements unknown_names_;
 
 	/// Replicas whose malformed statements have been logged already.
-	std::set<replica_id> logged_unreadable_replicas_;
+	std::set<replica_id> logged_malformed_replicas_;
 	rollout::version_shift versions_;
 	routing::size_policy sizes_;
 	std::map<service_id, routing::first_token_estimator> first_token_times_;
--- a/include/gingerdyke/proxy/replica_statements.hpp
+++ b/include/gingerdyke/proxy/replica_statements.hpp
@@ -18,7 +18,7 @@
 	std::optional<double> load_limit;
 
 	/// It announces a load limit, but no value of it is valid: a limit known before stays in force.
-	bool has_unreadable_limit{};
+	bool has_malformed_limit{};
 
 	/// It is draining and accepts no new work.
 	bool is_draining{};
@@ -29,7 +29,7 @@
 
 	/// A malformed value, for the log; empty if there is none. It does not change what is known of the
 	/// replica.
-	std::string unreadable;
+	std::string malformed_value;
 
 	/// Names of headers that have a prefix of statements but are not known.
 	std::vector<std::string> unknown;
--- a/src/proxy/exchange_answers.cpp
+++ b/src/proxy/exchange_answers.cpp
@@ -129,11 +129,11 @@
 	{
 		shared_.backoffs().record_response(from, attempt_->sent_at);
 	}
-	if (!statements.unreadable.empty())
+	if (!statements.malformed_value.empty())
 	{
-		shared_.record_unreadable_statement(from, statements.unreadable);
+		shared_.record_malformed_statement(from, statements.malformed_value);
 	}
-	if (!statements.has_unreadable_limit)
+	if (!statements.has_malformed_limit)
 	{
 		shared_.load_limits().record_response(from, {statements.load_limit, attempt_->sent_at, id_}, now);
 	}
--- a/src/proxy/gateway.cpp
+++ b/src/proxy/gateway.cpp
@@ -273,9 +273,9 @@
 
 std::shared_ptr<active_request> gateway::handle(request incoming, std::shared_ptr<response_sink> output)
 {
-	const auto created = std::make_shared<exchange>(*this, std::move(incoming), std::move(output));
-	created->start();
-	return created;
+	const auto new_exchange = std::make_shared<exchange>(*this, std::move(incoming), std::move(output));
+	new_exchange->start();
+	return new_exchange;
 }
 
 limits::attempt_budget& gateway::budget(const service_id& service)
@@ -324,7 +324,7 @@
 	out << "gingerdyke_replica_ends_total " << replica_exits_ << "\n";
 	metrics::write_header(out, "gingerdyke_replica_statements_unreadable_total", "counter",
 		"Answers in which a replica says something of itself that can't be read.");
-	out << "gingerdyke_replica_statements_unreadable_total " << unreadable_statements_ << "\n";
+	out << "gingerdyke_replica_statements_unreadable_total " << malformed_statements_ << "\n";
 	metrics::write_header(out, "gingerdyke_statements_unknown_total", "counter",
 		"Statements of replicas, their entries and operators that are not known.");
 	out << "gingerdyke_statements_unknown_total " << unknown_names_.count() << "\n";
@@ -361,11 +361,11 @@
 	}
 }
 
-void gateway::record_unreadable_statement(const routing::replica& from, const std::string& value)
+void gateway::record_malformed_statement(const routing::replica& from, const std::string& value)
 {
 	constexpr std::size_t longest = 60;
-	++unreadable_statements_;
-	if (logged_unreadable_replicas_.insert(from.id).second)
+	++malformed_statements_;
+	if (logged_malformed_replicas_.insert(from.id).second)
 	{
 		log::write(log::level::warn, "malformed replica statement",
 			{{"replica", from.id.str()}, {"service", from.service.str()},
@@ -473,7 +473,7 @@
 	{
 		load_limits_.forget(instance.id);
 		backoffs_.forget(instance.id);
-		logged_unreadable_replicas_.erase(instance.id);
+		logged_malformed_replicas_.erase(instance.id);
 		pool_.close_idle_connections(instance.id);
 		selector_.forget(instance.id);
 		exit_detector_.runs().remove_entry(instance.id, steady_now());
--- a/src/proxy/replica_statements.cpp
+++ b/src/proxy/replica_statements.cpp
@@ -69,7 +69,7 @@
 		const auto limit = parse_non_negative(field.value);
 		if (!limit)
 		{
-			result.unreadable = field.value;
+			result.malformed_value = field.value;
 			return;
 		}
 		result.load_limit = std::min(result.load_limit.value_or(*limit), *limit);
@@ -83,7 +83,7 @@
 		const auto wait = parse_retry_after(field.value, time_of_day);
 		if (!wait)
 		{
-			result.unreadable = field.value;
+			result.malformed_value = field.value;
 			return;
 		}
 		result.backoff = std::max(result.backoff.value_or(*wait), *wait);
@@ -104,7 +104,7 @@
 	{
 		read_field(read, entry, is_refusal, names, time_of_day);
 	}
-	read.has_unreadable_limit = !read.load_limit && find_field(head.fields, names.load_limit) != nullptr;
+	read.has_malformed_limit = !read.load_limit && find_field(head.fields, names.load_limit) != nullptr;
 	return read;
 }
 } // namespace gingerdyke::proxy
--- a/tests/proxy/replica_statements.cpp
+++ b/tests/proxy/replica_statements.cpp
@@ -27,11 +27,11 @@
 	CHECK(parse(200, {{"Load-Limit", "7"}, {"Load-Limit", "0.25"}}).load_limit == 0.25);
 	const auto mixed = parse(200, {{"Load-Limit", "many"}, {"Load-Limit", "3"}});
 	CHECK(mixed.load_limit == 3);
-	CHECK(mixed.unreadable == "many");
-	CHECK_FALSE(mixed.has_unreadable_limit);
-	CHECK(parse(200, {{"Load-Limit", "many"}}).has_unreadable_limit);
+	CHECK(mixed.malformed_value == "many");
+	CHECK_FALSE(mixed.has_malformed_limit);
+	CHECK(parse(200, {{"Load-Limit", "many"}}).has_malformed_limit);
 	CHECK_FALSE(parse(200, {}).load_limit);
-	CHECK_FALSE(parse(503, {{"Retry-After", "soon"}}).has_unreadable_limit);
+	CHECK_FALSE(parse(503, {{"Retry-After", "soon"}}).has_malformed_limit);
 }
 
 TEST_CASE("only the value 1 states that a replica is draining", "[statements]")
@@ -50,7 +50,7 @@
 	CHECK(parse(503, {{"Retry-After", "1"}, {"Retry-After", "2"}}).backoff == milliseconds{2000});
 	CHECK(parse(503, {{"Retry-After", "Sun, 06 Nov 1994 08:49:40 GMT"}}).backoff == milliseconds{3000});
 	CHECK(parse(503, {{"Retry-After", "Sun, 06 Nov 1994 08:49:00 GMT"}}).backoff == milliseconds{0});
-	CHECK(parse(503, {{"Retry-After", "1e300"}}).unreadable == "1e300");
+	CHECK(parse(503, {{"Retry-After", "1e300"}}).malformed_value == "1e300");
 	CHECK(parse(503, {{"Retry-After", "99999999999999999999"}}).backoff);
 	CHECK_FALSE(parse(200, {{"Retry-After", "3"}}).backoff);
 	for (const auto* bad : {"-1", "nan", "soon", "", "inf"})
