--- a/include/gingerdyke/control/coordinator.hpp
+++ b/include/gingerdyke/control/coordinator.hpp
@@ -83,9 +83,9 @@
 };
 
 /// \brief Returns the tuning for a deployment.
-/// \param news_limit Time within which a change of the configuration has to be in force on all VMs, and after
+/// \param propagation_limit Time within which a change of the configuration has to be in force on all VMs, and after
 /// which no request is sent to a replica that leaves. A shorter limit means more calls to the registry.
-[[nodiscard]] coordinator_tuning tuning_for(duration news_limit);
+[[nodiscard]] coordinator_tuning tuning_for(duration propagation_limit);
 
 /// \brief Follows the registry for a gateway, directly or through another VM, and serves it to other VMs.
 class coordinator
@@ -113,7 +113,7 @@
 	void on_operator_row(const row& table_row);
 	void on_replica_rows(const std::vector<row>& rows);
 	void on_replicas(const std::vector<row>& rows);
-	void note_unknown_fields(const row& table_row);
+	void record_unknown_fields(const row& table_row);
 	[[nodiscard]] std::optional<routing::replica> read_replica(const row& table_row) const;
 	void on_own_rows(const std::vector<row>& rows);
 	void on_plan_row(const row& table_row);
@@ -156,7 +156,7 @@
 	relay_server relay_server_;
 	report_board reports_;
 	suspect_rows suspect_rows_;
-	suspend_detector suspension_watch_;
+	suspend_detector suspend_detector_;
 	std::map<vm_id, peer> vms_;
 	proxy::boot_timer register_timer_;
 	proxy::boot_timer write_timer_;
--- a/include/gingerdyke/control/report_board.hpp
+++ b/include/gingerdyke/control/report_board.hpp
@@ -46,14 +46,14 @@
 		instant at;
 	};
 
-	struct kept_report
+	struct kept_work
 	{
 		std::vector<routing::replica_work> work;
 		instant at;
 	};
 
 	report_board_tuning tuning_;
-	std::map<std::string, kept_report> work_by_reporter_;
+	std::map<std::string, kept_work> work_by_reporter_;
 	std::map<std::string, kept_limits> limits_by_reporter_;
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/row_store.hpp
+++ b/include/gingerdyke/control/row_store.hpp
@@ -58,7 +58,7 @@
 	/// The history to continue from has been discarded; the table has to be read in full again.
 	history_gone,
 	/// The response is malformed.
-	bad_answer,
+	bad_response,
 };
 
 /// \brief Returns the name of an error as it is logged.
--- a/include/gingerdyke/control/shared_store.hpp
+++ b/include/gingerdyke/control/shared_store.hpp
@@ -136,11 +136,11 @@
 	void read_after(duration pause, read_call call);
 	void read_registry(read_call call);
 	void on_registry_response(const read_call& call, instant sent_at, const store_result<row_batch>& result);
-	void note_newest(const std::string& table, instant at);
+	void record_newest(const std::string& table, instant at);
 	void confirm_waiting_tables(const std::string& table, instant newest_at);
 	void read_peer(const peer& from, read_call call);
 	void on_peer_response(const peer& from, read_call call, instant sent_at, store_result<row_batch> result);
-	void note_source(const std::string& table, const std::optional<peer>& source);
+	void record_source(const std::string& table, const std::optional<peer>& source);
 	std::shared_ptr<relay_client> client_of(const peer& to);
 
 	proxy::asio::io_context& context_;
--- a/include/gingerdyke/control/source_selector.hpp
+++ b/include/gingerdyke/control/source_selector.hpp
@@ -87,17 +87,17 @@
 	/// \brief Records that a source is unreachable, or that it answered but reads the registry through
 	/// another VM itself: two VMs that read each other's copies would both become stale.
 	/// \param source None for the registry itself.
-	void note_unusable(const std::optional<peer>& source, instant now);
+	void record_unusable(const std::optional<peer>& source, instant now);
 
 	/// \brief Records that a VM's copy of a table is stale.
-	void note_stale_copy(const peer& source, const std::string& table, instant now);
+	void record_stale_copy(const peer& source, const std::string& table, instant now);
 
 	/// \brief Records that a VM has lost the registry: none of its copies is used for a while.
-	void note_registry_lost(const peer& source, instant now);
+	void record_registry_loss(const peer& source, instant now);
 
 	/// \brief Records a response from the registry itself or from a VM that reads it.
 	/// \param source None for the registry itself.
-	void note_usable(const std::optional<peer>& source);
+	void record_usable(const std::optional<peer>& source);
 
   private:
 	struct backoff
--- a/include/gingerdyke/control/suspect_rows.hpp
+++ b/include/gingerdyke/control/suspect_rows.hpp
@@ -24,7 +24,7 @@
 	quarantine::suspicion known;
 
 	/// When a replica last terminated during the request.
-	registry_time last_end{};
+	registry_time last_exit_at{};
 };
 
 /// \brief Encodes a suspicion as the value of its row.
@@ -63,10 +63,10 @@
 	void on_row(const row& table_row, instant now);
 
 	/// \brief Records the registry's clock and applies the rows that arrived before it was known.
-	void note_registry_time(registry_time at, instant now);
+	void record_registry_time(registry_time at, instant now);
 
 	/// \brief Records whether this VM reads the registry for others.
-	void note_reads_registry(bool reads_registry) { reads_registry_ = reads_registry; }
+	void record_reads_registry(bool reads_registry) { reads_registry_ = reads_registry; }
 
 	/// \brief Schedules a write; to be called when the list has changes to store.
 	void arm();
@@ -101,7 +101,7 @@
 		row_version version{};
 
 		/// When a replica last terminated during the request; none if the row is malformed.
-		std::optional<instant> last_end;
+		std::optional<instant> last_exit_at;
 	};
 
 	/// The rows as last seen by this VM. Each write is conditional on the row being unchanged; otherwise
@@ -109,7 +109,7 @@
 	/// fewer of them would be known.
 	std::map<std::string, known_row> rows_;
 	bool reads_registry_ = false;
-	bool is_armed_ = false;
+	bool is_write_scheduled_ = false;
 	bool is_writing_ = false;
 };
 } // namespace gingerdyke::control
--- a/include/gingerdyke/control/table_follower.hpp
+++ b/include/gingerdyke/control/table_follower.hpp
@@ -70,8 +70,8 @@
 	[[nodiscard]] static instant newest_at(instant sent_at, const row_batch& batch);
 	void log_superseded(std::size_t rows, std::size_t changed_rows) const;
 	void confirm_cache(instant sent_at, const row_batch& batch);
-	void note_success(instant sent_at, const row_batch& batch);
-	void note_failure(store_error error);
+	void record_success(instant sent_at, const row_batch& batch);
+	void record_failure(store_error error);
 	void retry_after_backoff();
 	void read_next_after(duration pause);
 
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -20,9 +20,9 @@
 }
 } // namespace
 
-coordinator_tuning tuning_for(duration news_limit)
+coordinator_tuning tuning_for(duration propagation_limit)
 {
-	// Shares of `news_limit`: the wait of a reader's poll, the maximum age of another VM's copy and that of
+	// Shares of `propagation_limit`: the wait of a reader's poll, the maximum age of another VM's copy and that of
 	// the own copy. The second exceeds the first by the time for the reader's response; the rest of the limit
 	// is for learning of a change from another VM, its last part for the registry's own response.
 	constexpr double poll_wait_ratio = 0.35;
@@ -32,10 +32,10 @@
 	// contact with the registry again 3 s after an outage, and a further 2 s are allowed from there.
 	constexpr double replica_wait_ratio = 1.2;
 	coordinator_tuning tuning;
-	tuning.operator_poll_wait = scaled(news_limit, poll_wait_ratio);
-	tuning.replica_poll_wait = scaled(news_limit, replica_wait_ratio);
-	tuning.sharing.max_peer_copy_age = scaled(news_limit, peer_copy_ratio);
-	tuning.sharing.max_own_copy_age = scaled(news_limit, own_copy_ratio);
+	tuning.operator_poll_wait = scaled(propagation_limit, poll_wait_ratio);
+	tuning.replica_poll_wait = scaled(propagation_limit, replica_wait_ratio);
+	tuning.sharing.max_peer_copy_age = scaled(propagation_limit, peer_copy_ratio);
+	tuning.sharing.max_own_copy_age = scaled(propagation_limit, own_copy_ratio);
 	return tuning;
 }
 
@@ -56,7 +56,7 @@
 				  check_machine_suspension();
 				  gateway_.confirm_catalog(newest_at);
 				  gateway_.versions().update_registry_time(at, proxy::steady_now());
-				  suspect_rows_.note_registry_time(at, proxy::steady_now());
+				  suspect_rows_.record_registry_time(at, proxy::steady_now());
 			  },
 			  // The responses to the other pending calls may be lost as well, so they are repeated.
 			  [this](store_error)
@@ -129,7 +129,7 @@
 void coordinator::check_machine_suspension()
 {
 	const auto monotonic_now = std::chrono::steady_clock::now().time_since_epoch();
-	if (const auto span = suspension_watch_.update(boot_clock::now().time_since_epoch(), monotonic_now))
+	if (const auto span = suspend_detector_.update(boot_clock::now().time_since_epoch(), monotonic_now))
 	{
 		log::write(log::level::warn, "machine was suspended", {{"for_ms", to_milliseconds(*span)}});
 	}
@@ -250,7 +250,7 @@
 		auto entry = read_replica(table_row);
 		if (entry)
 		{
-			note_unknown_fields(table_row);
+			record_unknown_fields(table_row);
 			gateway_.replicas().put(std::move(*entry), now);
 			continue;
 		}
@@ -261,7 +261,7 @@
 }
 
 /// Checked once per replica, as each heartbeat of a cold replica delivers its row again.
-void coordinator::note_unknown_fields(const row& table_row)
+void coordinator::record_unknown_fields(const row& table_row)
 {
 	if (gateway_.replicas().find(replica_id{table_row.key}) != nullptr)
 	{
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -22,7 +22,7 @@
 	{
 		gateway_.versions().set_reads_registry(reads_registry);
 		reads_registry_ = reads_registry;
-		suspect_rows_.note_reads_registry(reads_registry);
+		suspect_rows_.record_reads_registry(reads_registry);
 		suspect_rows_.arm();
 		follow_evidence();
 		schedule_write();
@@ -101,9 +101,9 @@
 	reports_.set_work(reporter_, gateway_.selector().outstanding_work(), now);
 	reports_.set_limits(reporter_, gateway_.load_limits().local_updates(now), now);
 	// Requests with a single termination are only of use to the VM that aggregates them.
-	constexpr std::size_t min_terminations = 2;
+	constexpr std::size_t min_exits = 2;
 	return {reports_.work_excluding(reporter, now), gateway_.versions().suspensions(),
-		gateway_.suspects().recent_changes(min_terminations, now), reports_.limits_excluding(reporter, now)};
+		gateway_.suspects().recent_changes(min_exits, now), reports_.limits_excluding(reporter, now)};
 }
 
 void coordinator::on_peer_summary(const peer_summary& summary)
--- a/src/control/relay_codec.cpp
+++ b/src/control/relay_codec.cpp
@@ -32,7 +32,7 @@
 			return error;
 		}
 	}
-	return store_error::bad_answer;
+	return store_error::bad_response;
 }
 
 template <typename Message>
--- a/src/control/report_message.cpp
+++ b/src/control/report_message.cpp
@@ -216,7 +216,7 @@
 	return all;
 }
 
-std::set<quarantine::process_instance> lives_from_wire(const std::vector<std::int64_t>& lives)
+std::set<quarantine::process_instance> processes_from_wire(const std::vector<std::int64_t>& lives)
 {
 	std::set<quarantine::process_instance> all;
 	for (const auto life : lives)
@@ -255,9 +255,9 @@
 		added.key = quarantine::request_key{suspicion.key};
 		for (const auto& end : suspicion.ended)
 		{
-			added.ended[quarantine::process_instance{end.life}] = lives_from_wire(end.together);
+			added.ended[quarantine::process_instance{end.life}] = processes_from_wire(end.together);
 		}
-		added.survived = lives_from_wire(suspicion.survived);
+		added.survived = processes_from_wire(suspicion.survived);
 	}
 	return all;
 }
--- a/src/control/shared_store.cpp
+++ b/src/control/shared_store.cpp
@@ -156,7 +156,7 @@
 void shared_store::read_registry(read_call call)
 {
 	const auto sent_at = proxy::steady_now();
-	note_source(call.table, std::nullopt);
+	record_source(call.table, std::nullopt);
 	if (call.after)
 	{
 		tables_[call.table].registry_wait_since = sent_at;
@@ -183,23 +183,23 @@
 	const bool failed = !result && result.error() != store_error::history_gone;
 	if (failed)
 	{
-		sources_.note_unusable(std::nullopt, proxy::steady_now());
+		sources_.record_unusable(std::nullopt, proxy::steady_now());
 		return;
 	}
-	sources_.note_usable(std::nullopt);
+	sources_.record_usable(std::nullopt);
 	if (!result)
 	{
 		return;
 	}
 	const auto newest_at = sent_at + result->held;
-	note_newest(call.table, newest_at);
+	record_newest(call.table, newest_at);
 	if (call.table == tuning_.liveness_table)
 	{
 		confirm_waiting_tables(call.table, newest_at);
 	}
 }
 
-void shared_store::note_newest(const std::string& table, instant at)
+void shared_store::record_newest(const std::string& table, instant at)
 {
 	auto& known = tables_[table].newest_at;
 	known = std::max(known.value_or(at), at);
@@ -214,7 +214,7 @@
 		const bool was_waiting = state.registry_wait_since && *state.registry_wait_since <= newest_at;
 		if (name != table && state.newest_at && was_waiting)
 		{
-			note_newest(name, newest_at);
+			record_newest(name, newest_at);
 			hooks_.copy_confirmed(name, newest_at);
 		}
 	}
@@ -222,7 +222,7 @@
 
 void shared_store::read_peer(const peer& from, read_call call)
 {
-	note_source(call.table, from);
+	record_source(call.table, from);
 	const bool has_copy = tables_[call.table].newest_at.has_value();
 	relay_poll poll;
 	poll.table = call.table;
@@ -257,14 +257,14 @@
 	const bool is_fresh = result && (!has_copy || result->age <= tuning_.max_peer_copy_age);
 	if (is_fresh)
 	{
-		note_newest(call.table, sent_at + result->held - result->age);
+		record_newest(call.table, sent_at + result->held - result->age);
 		if (result->is_relayed)
 		{
-			sources_.note_unusable(from, proxy::steady_now());
+			sources_.record_unusable(from, proxy::steady_now());
 		}
 		else
 		{
-			sources_.note_usable(from);
+			sources_.record_usable(from);
 		}
 		call.done(std::move(result));
 		return;
@@ -283,22 +283,22 @@
 	const auto now = proxy::steady_now();
 	if (has_responded && table != tuning_.liveness_table)
 	{
-		sources_.note_stale_copy(from, table, now);
+		sources_.record_stale_copy(from, table, now);
 		return;
 	}
 	if (has_responded)
 	{
-		sources_.note_registry_lost(from, now);
+		sources_.record_registry_loss(from, now);
 	}
 	else
 	{
-		sources_.note_unusable(from, now);
+		sources_.record_unusable(from, now);
 	}
 	// Its other calls would only fail later or return stale rows.
 	client_of(from)->abandon();
 }
 
-void shared_store::note_source(const std::string& table, const std::optional<peer>& source)
+void shared_store::record_source(const std::string& table, const std::optional<peer>& source)
 {
 	auto& state = tables_[table];
 	const auto vm = source ? std::optional{source->vm} : std::nullopt;
--- a/src/control/source_selector.cpp
+++ b/src/control/source_selector.cpp
@@ -185,7 +185,7 @@
 	return static_cast<std::size_t>(preferred);
 }
 
-void source_selector::note_unusable(const std::optional<peer>& source, instant now)
+void source_selector::record_unusable(const std::optional<peer>& source, instant now)
 {
 	auto& known = backoffs_[backoff_key(source)];
 	if (known.until > now)
@@ -205,17 +205,17 @@
 	return rank() < tuning_.fast_retry_vms ? tuning_.initial_backoff : tuning_.slow_retry_backoff;
 }
 
-void source_selector::note_stale_copy(const peer& source, const std::string& table, instant now)
+void source_selector::record_stale_copy(const peer& source, const std::string& table, instant now)
 {
 	stale_copies_[{source.vm, table}] = now + tuning_.stale_copy_backoff;
 }
 
-void source_selector::note_registry_lost(const peer& source, instant now)
+void source_selector::record_registry_loss(const peer& source, instant now)
 {
-	note_stale_copy(source, all_tables, now);
+	record_stale_copy(source, all_tables, now);
 }
 
-void source_selector::note_usable(const std::optional<peer>& source)
+void source_selector::record_usable(const std::optional<peer>& source)
 {
 	backoffs_.erase(backoff_key(source));
 }
--- a/src/control/suspect_rows.cpp
+++ b/src/control/suspect_rows.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-json lives_to_json(const std::set<quarantine::process_instance>& lives)
+json processes_to_json(const std::set<quarantine::process_instance>& lives)
 {
 	json all = json::array();
 	for (const auto life : lives)
@@ -20,7 +20,7 @@
 	return all;
 }
 
-std::set<quarantine::process_instance> lives_from_json(const json& value)
+std::set<quarantine::process_instance> processes_from_json(const json& value)
 {
 	std::set<quarantine::process_instance> all;
 	for (const auto& element : value)
@@ -30,23 +30,23 @@
 	return all;
 }
 
-json ended_to_json(const quarantine::process_exits& ended)
+json exits_to_json(const quarantine::process_exits& ended)
 {
 	json all = json::array();
 	for (const auto& [life, together] : ended)
 	{
-		all.push_back({{"life", life.value()}, {"together", lives_to_json(together)}});
+		all.push_back({{"life", life.value()}, {"together", processes_to_json(together)}});
 	}
 	return all;
 }
 
-quarantine::process_exits ended_from_json(const json& value)
+quarantine::process_exits exits_from_json(const json& value)
 {
 	quarantine::process_exits all;
 	for (const auto& element : value)
 	{
 		all[quarantine::process_instance{element.at("life").get<std::int64_t>()}] =
-			lives_from_json(element.at("together"));
+			processes_from_json(element.at("together"));
 	}
 	return all;
 }
@@ -59,8 +59,8 @@
 
 std::string write_suspicion(const stored_suspicion& stored)
 {
-	return json{{"ended", ended_to_json(stored.known.ended)},
-		{"survived", lives_to_json(stored.known.survived)}, {"last_end_us", stored.last_end.count()}}
+	return json{{"ended", exits_to_json(stored.known.ended)},
+		{"survived", processes_to_json(stored.known.survived)}, {"last_end_us", stored.last_exit_at.count()}}
 		.dump();
 }
 
@@ -71,9 +71,9 @@
 		{
 			stored_suspicion read;
 			read.known.key = quarantine::request_key{from.key.substr(suspect_key_prefix.size())};
-			read.known.ended = ended_from_json(value.at("ended"));
-			read.known.survived = lives_from_json(value.at("survived"));
-			read.last_end = registry_time{value.at("last_end_us").get<std::int64_t>()};
+			read.known.ended = exits_from_json(value.at("ended"));
+			read.known.survived = processes_from_json(value.at("survived"));
+			read.last_exit_at = registry_time{value.at("last_end_us").get<std::int64_t>()};
 			return read;
 		});
 }
@@ -84,7 +84,7 @@
 {
 }
 
-void suspect_rows::note_registry_time(registry_time at, instant now)
+void suspect_rows::record_registry_time(registry_time at, instant now)
 {
 	registry_clock_offset_ = at - now.time_since_epoch();
 	for (const auto& table_row : std::exchange(rows_before_clock_, {}))
@@ -119,8 +119,8 @@
 		log::write(log::level::error, "invalid suspected request row", {{"findings", to_text(read.error())}});
 		return;
 	}
-	known.last_end = std::min(now, instant{read->last_end - *registry_clock_offset_});
-	suspects_.merge_stored(read->known, *known.last_end, now);
+	known.last_exit_at = std::min(now, instant{read->last_exit_at - *registry_clock_offset_});
+	suspects_.merge_stored(read->known, *known.last_exit_at, now);
 	arm();
 }
 
@@ -131,16 +131,16 @@
 
 void suspect_rows::write_after(duration pause)
 {
-	if (is_armed_ || is_writing_ || suspects_.unstored(reads_registry_, proxy::steady_now()).empty())
+	if (is_write_scheduled_ || is_writing_ || suspects_.unstored(reads_registry_, proxy::steady_now()).empty())
 	{
 		return;
 	}
-	is_armed_ = true;
+	is_write_scheduled_ = true;
 	timer_.expires_after(pause);
 	timer_.async_wait(
 		[this](const proxy::error_code& error)
 		{
-			is_armed_ = false;
+			is_write_scheduled_ = false;
 			if (!error)
 			{
 				write();
@@ -184,8 +184,8 @@
 	for (const auto& suspicion : to_store)
 	{
 		const auto key = row_key_of(suspicion.key);
-		const auto last_end = suspects_.last_exit(suspicion.key).value_or(now);
-		const stored_suspicion stored{suspicion, last_end.time_since_epoch() + *registry_clock_offset_};
+		const auto last_exit_at = suspects_.last_exit(suspicion.key).value_or(now);
+		const stored_suspicion stored{suspicion, last_exit_at.time_since_epoch() + *registry_clock_offset_};
 		change.conditions.push_back(unchanged_condition(key));
 		change.puts.push_back({table_, key, write_suspicion(stored)});
 	}
@@ -249,7 +249,7 @@
 	row_change change;
 	for (const auto& [key, known] : rows_)
 	{
-		const bool is_expired = known.last_end && now - *known.last_end > tuning_.lifetime;
+		const bool is_expired = known.last_exit_at && now - *known.last_exit_at > tuning_.lifetime;
 		if (is_expired && change.removals.size() < tuning_.max_rows_per_change)
 		{
 			change.conditions.push_back(unchanged_condition(key));
--- a/src/control/table_follower.cpp
+++ b/src/control/table_follower.cpp
@@ -16,7 +16,7 @@
 		return "unavailable";
 	case store_error::history_gone:
 		return "history gone";
-	case store_error::bad_answer:
+	case store_error::bad_response:
 		return "bad answer";
 	}
 	return "unknown";
@@ -88,7 +88,7 @@
 {
 	if (!result)
 	{
-		note_failure(result.error());
+		record_failure(result.error());
 		return;
 	}
 	if (newest_seen_ && result->newest < *newest_seen_)
@@ -104,7 +104,7 @@
 	cache_.replace(result->rows, result->newest);
 	confirm_cache(sent_at, *result);
 	hooks_.replaced(result->rows);
-	note_success(sent_at, *result);
+	record_success(sent_at, *result);
 	follow();
 }
 
@@ -112,7 +112,7 @@
 {
 	if (!result)
 	{
-		note_failure(result.error());
+		record_failure(result.error());
 		return;
 	}
 	resume_version_ = std::max(*resume_version_, result->newest);
@@ -124,7 +124,7 @@
 	{
 		hooks_.changed(changed_rows);
 	}
-	note_success(sent_at, *result);
+	record_success(sent_at, *result);
 	if (!result->rows.empty() && tuning_.batch_delay > duration{0})
 	{
 		read_next_after(tuning_.batch_delay);
@@ -156,7 +156,7 @@
 	cache_.confirm(newest_at(sent_at, batch), batch.at, proxy::steady_now());
 }
 
-void table_follower::note_success(instant sent_at, const row_batch& batch)
+void table_follower::record_success(instant sent_at, const row_batch& batch)
 {
 	backoff_ = tuning_.initial_backoff;
 	if (is_failing_)
@@ -167,7 +167,7 @@
 	hooks_.confirmed(newest_at(sent_at, batch), batch.at);
 }
 
-void table_follower::note_failure(store_error error)
+void table_follower::record_failure(store_error error)
 {
 	if (error == store_error::history_gone)
 	{
--- a/tests/control/shared_store.cpp
+++ b/tests/control/shared_store.cpp
@@ -45,7 +45,7 @@
 	{
 		for (const auto* name : {"peer0", "peer1"})
 		{
-			sources.note_registry_lost(make_peer(name), proxy::steady_now());
+			sources.record_registry_loss(make_peer(name), proxy::steady_now());
 		}
 	}
 
@@ -131,11 +131,11 @@
 	shared_store store{context, registry, sources, quiet_hooks()};
 
 	// The VM first reads the table from the registry.
-	sources.note_unusable(reader, proxy::steady_now());
+	sources.record_unusable(reader, proxy::steady_now());
 	store.read_all("t", [](const store_result<row_batch>&) {});
 	REQUIRE(registry.whole_reads.size() == 1);
 	registry.answer_whole(row_version{9});
-	sources.note_usable(reader);
+	sources.record_usable(reader);
 
 	std::optional<store_result<row_batch>> got;
 	store.read_all("t", [&](store_result<row_batch> result) { got = std::move(result); });
@@ -163,7 +163,7 @@
 	tuning.max_own_copy_age = duration{0};
 	stale_peers_world world{tuning};
 	world.read_from_registry("t");
-	world.sources.note_unusable(std::nullopt, proxy::steady_now());
+	world.sources.record_unusable(std::nullopt, proxy::steady_now());
 	world.follow("t", seconds{100});
 	CHECK(world.registry.follows.empty());
 }
@@ -222,7 +222,7 @@
 	world.read_from_registry("t");
 	test::run_until(
 		world.context, [&] { return world.sources.choose("t", proxy::steady_now()).has_value(); });
-	world.sources.note_unusable(std::nullopt, proxy::steady_now());
+	world.sources.record_unusable(std::nullopt, proxy::steady_now());
 	std::optional<store_result<row_batch>> got;
 	world.store.read_all("t", [&](store_result<row_batch> result) { got = std::move(result); });
 	test::run_until(world.context, [&] { return got.has_value() || !world.registry.whole_reads.empty(); });
--- a/tests/control/source_selector.cpp
+++ b/tests/control/source_selector.cpp
@@ -26,7 +26,7 @@
 	}
 	for (auto& [name, selector] : selectors)
 	{
-		selector.note_unusable(make_peer(reader.c_str()), start);
+		selector.record_unusable(make_peer(reader.c_str()), start);
 	}
 	std::string next;
 	for (const auto& [name, selector] : selectors)
@@ -46,7 +46,7 @@
 	CHECK_FALSE(selector.choose("t", start));
 	selector.set_peers({make_peer("far", "b")});
 	CHECK_FALSE(selector.choose("t", start));
-	selector.note_unusable(std::nullopt, start);
+	selector.record_unusable(std::nullopt, start);
 	REQUIRE(selector.choose("t", start));
 	CHECK(selector.choose("t", start)->vm.str() == "far");
 	CHECK_FALSE(selector.choose("t", start + seconds{3}));
@@ -63,17 +63,17 @@
 	REQUIRE(second.choose("t", start));
 	for (int i = 0; i < 10; ++i)
 	{
-		second.note_stale_copy(large, "t", start);
+		second.record_stale_copy(large, "t", start);
 	}
 	CHECK_FALSE(second.choose("t", start));
 	CHECK(second.choose("other", start));
 	CHECK(second.choose("t", start + milliseconds{500}));
-	second.note_registry_lost(large, start + seconds{1});
+	second.record_registry_loss(large, start + seconds{1});
 	CHECK_FALSE(second.choose("other", start + seconds{1}));
 	CHECK(second.choose("other", start + seconds{2}));
 	for (int i = 0; i < 10; ++i)
 	{
-		second.note_unusable(large, start + seconds{100 * i});
+		second.record_unusable(large, start + seconds{100 * i});
 	}
 	CHECK_FALSE(second.choose("other", start + seconds{900} + milliseconds{600}));
 }
@@ -84,12 +84,12 @@
 	auto first = make_peer("vm1");
 	first.link_mbps = 10;
 	second.set_peers({first});
-	second.note_unusable(first, start);
+	second.record_unusable(first, start);
 	CHECK_FALSE(second.choose("t", start + milliseconds{400}));
 	CHECK(second.choose("t", start + milliseconds{600}));
-	second.note_unusable(first, start + milliseconds{600});
+	second.record_unusable(first, start + milliseconds{600});
 	CHECK_FALSE(second.choose("t", start + milliseconds{1500}));
-	second.note_usable(first);
+	second.record_usable(first);
 	CHECK(second.choose("t", start + milliseconds{1500}));
 }
 
@@ -109,7 +109,7 @@
 		for (int i = 0; i < 8; ++i)
 		{
 			now += seconds{10};
-			selector.note_unusable(std::nullopt, now);
+			selector.record_unusable(std::nullopt, now);
 		}
 		return selector.registry_backoff_until(now + span).has_value();
 	};
@@ -211,7 +211,7 @@
 			continue;
 		}
 		last = self;
-		selector.note_unusable(first, start);
+		selector.record_unusable(first, start);
 		const auto second = selector.choose_for_full_read("t", start);
 		REQUIRE(second);
 		CHECK(second->vm != first->vm);
@@ -219,6 +219,6 @@
 	REQUIRE(last);
 	source_selector without_registry{*last};
 	without_registry.set_peers(peers);
-	without_registry.note_unusable(std::nullopt, start);
+	without_registry.record_unusable(std::nullopt, start);
 	CHECK(without_registry.choose_for_full_read("t", start));
 }
--- a/tests/control/suspect_rows.cpp
+++ b/tests/control/suspect_rows.cpp
@@ -34,9 +34,9 @@
 /// A VM's list of suspects and its rows.
 struct stored_suspects
 {
-	stored_suspects() { rows.note_registry_time(registry_time{seconds{500}}, proxy::steady_now()); }
+	stored_suspects() { rows.record_registry_time(registry_time{seconds{500}}, proxy::steady_now()); }
 
-	void terminate(int life, const char* key)
+	void record_exit(int life, const char* key)
 	{
 		const auto now = proxy::steady_now();
 		list.presume(process_instance{life}, {request_key{key}}, now);
@@ -69,7 +69,7 @@
 	const auto read = read_suspicion(written);
 	REQUIRE(read);
 	CHECK(read->known == what.known);
-	CHECK(read->last_end == what.last_end);
+	CHECK(read->last_exit_at == what.last_exit_at);
 	for (const auto* broken : {"", "[]", "{}", R"({"ended":["x"],"survived":[],"last_end_us":1})",
 			 R"({"ended":[{"life":1,"together":["x"]}],"survived":[],"last_end_us":1})"})
 	{
@@ -80,9 +80,9 @@
 TEST_CASE("two terminations seen by one VM are stored once, and a failed write is retried", "[quarantine]")
 {
 	stored_suspects vm;
-	vm.terminate(1, "k");
+	vm.record_exit(1, "k");
 	CHECK(vm.list.unstored(false, proxy::steady_now()).empty());
-	vm.terminate(2, "k");
+	vm.record_exit(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 1; });
 	CHECK(vm.store.changes.front().puts.front().key == "suspect/k");
 	vm.store.answer(tl::make_unexpected(store_error::unavailable));
@@ -98,10 +98,10 @@
 TEST_CASE("changes made during a write are stored by the next write", "[quarantine]")
 {
 	stored_suspects vm;
-	vm.terminate(1, "k");
-	vm.terminate(2, "k");
+	vm.record_exit(1, "k");
+	vm.record_exit(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 1; });
-	vm.terminate(3, "k");
+	vm.record_exit(3, "k");
 	vm.store.answer(change_result{true, {}});
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	CHECK(read_suspicion(vm.stored_row())->known.ended.size() == 3);
@@ -113,8 +113,8 @@
 TEST_CASE("terminations stored concurrently by another VM are not overwritten", "[quarantine]")
 {
 	stored_suspects vm;
-	vm.terminate(1, "k");
-	vm.terminate(2, "k");
+	vm.record_exit(1, "k");
+	vm.record_exit(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 1; });
 	const auto& first = vm.store.changes.front();
 	REQUIRE(first.conditions.size() == 1);
@@ -123,7 +123,7 @@
 	stored_suspects other;
 	for (const int life : {2, 7, 8})
 	{
-		other.terminate(life, "k");
+		other.record_exit(life, "k");
 	}
 	run_until(other.context, [&] { return other.store.changes.size() == 1; });
 	vm.store.answer(change_result{false, {other.stored_row()}});
@@ -175,12 +175,12 @@
 TEST_CASE("a row that an operator removes during a write is not created again", "[quarantine]")
 {
 	stored_suspects vm;
-	vm.terminate(1, "k");
-	vm.terminate(2, "k");
+	vm.record_exit(1, "k");
+	vm.record_exit(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 1; });
 	vm.store.answer(change_result{true, {}});
 	vm.rows.on_row(vm.stored_row(), proxy::steady_now());
-	vm.terminate(3, "k");
+	vm.record_exit(3, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	vm.store.answer(change_result{false, {}});
 	CHECK_FALSE(vm.list.is_quarantined(request_key{"k"}, proxy::steady_now()));
@@ -195,7 +195,7 @@
 	stored_suspects vm;
 	for (const int life : {1, 2, 3})
 	{
-		vm.terminate(life, "k");
+		vm.record_exit(life, "k");
 	}
 	run_until(vm.context, [&] { return !vm.store.changes.empty(); });
 	stored_suspects other;
@@ -227,7 +227,7 @@
 	rows.on_row(row_of("new", seconds{10}), proxy::steady_now());
 	rows.on_row(row_of("old", std::chrono::minutes{11}), proxy::steady_now());
 	const auto now = proxy::steady_now();
-	rows.note_registry_time(registry_time{seconds{5000}}, now);
+	rows.record_registry_time(registry_time{seconds{5000}}, now);
 	CHECK(list.is_quarantined(request_key{"new"}, now));
 	CHECK_FALSE(list.last_exit(request_key{"old"}));
 }
@@ -241,8 +241,8 @@
 		registry_time{seconds{500} - std::chrono::minutes{11}}};
 	vm.rows.on_row({"own", "suspect/old", write_suspicion(old), row_version{1}, false}, proxy::steady_now());
 	CHECK_FALSE(vm.list.last_exit(request_key{"old"}));
-	vm.terminate(1, "k");
-	vm.terminate(2, "k");
+	vm.record_exit(1, "k");
+	vm.record_exit(2, "k");
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	REQUIRE(vm.store.changes.back().removals.size() == 1);
 	CHECK(vm.store.changes.back().removals.front().key == "suspect/old");
