--- a/include/gingerdyke/control/coordinator.hpp
+++ b/include/gingerdyke/control/coordinator.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Connects the registry to the data path: applies configuration, replicas and version shifts, and writes
-// plans and evidence.
+// the plans of version shifts and the evidence on new versions.
 #pragma once
 
 #include <gingerdyke/base/suspend_detector.hpp>
@@ -55,11 +55,11 @@
 struct coordinator_tuning
 {
 	/// Wait of polls for the operators' table. It bounds how long this VM, which other VMs may read through,
-	/// takes to notice that it has lost the registry. For a limit of 2 s; see `tuning_for`.
+	/// takes to notice that it has lost the registry. The default is for a limit of 2 s; see `tuning_for`.
 	duration operator_poll_wait = std::chrono::milliseconds{700};
 
 	/// Wait of polls for the replicas' table. Changes arrive at once unless a response is lost; until the
-	/// loss is noticed, requests are sent to replicas that leave. See `tuning_for`.
+	/// loss is noticed, requests are still sent to draining replicas. See `tuning_for`.
 	duration replica_poll_wait = std::chrono::milliseconds{2400};
 
 	/// Wait of polls for the router's own table; changes arrive at once all the same.
@@ -83,8 +83,9 @@
 };
 
 /// \brief Returns the tuning for a deployment.
-/// \param propagation_limit Time within which a change of the configuration has to be in force on all VMs, and after
-/// which no request is sent to a replica that leaves. A shorter limit means more calls to the registry.
+/// \param propagation_limit Time within which a change of the configuration has to be in force on all VMs,
+/// and after which no request is sent to a draining replica. A shorter limit means more calls to the
+/// registry.
 [[nodiscard]] coordinator_tuning tuning_for(duration propagation_limit);
 
 /// \brief Follows the registry for a gateway, directly or through another VM, and serves it to other VMs.
@@ -104,8 +105,8 @@
 	/// \brief Schedules the next write; to be called after requests have added evidence.
 	void schedule_write();
 
-	/// \brief To be called after a replica terminated during requests.
-	void on_suspicion() { suspect_rows_.arm(); }
+	/// \brief To be called after a replica exited while it was running requests.
+	void on_suspicion() { suspect_rows_.schedule_store(); }
 
   private:
 	void on_operator_table(const std::vector<row>& rows);
--- a/include/gingerdyke/control/peer_report.hpp
+++ b/include/gingerdyke/control/peer_report.hpp
@@ -27,8 +27,8 @@
 	/// verdict, and would otherwise declare the version completed.
 	std::vector<rollout::shift_suspension> suspended;
 
-	/// Requests during which replicas recently terminated. A single VM may have seen only one termination,
-	/// while all VMs together have seen too many.
+	/// Requests during which replicas recently exited. A single VM may have seen only one exit, while all VMs
+	/// together have seen too many.
 	std::vector<quarantine::suspicion> suspects;
 
 	/// Rate limits that replicas announced to this VM.
@@ -44,7 +44,7 @@
 	/// New versions that the polled VM has judged bad.
 	std::vector<rollout::shift_suspension> suspended;
 
-	/// Requests during which several replicas recently terminated.
+	/// Requests during which several replicas recently exited.
 	std::vector<quarantine::suspicion> suspects;
 
 	/// Rate limits announced by replicas to the polled VM and to the VMs that report to it, except the one
--- a/include/gingerdyke/control/row_store.hpp
+++ b/include/gingerdyke/control/row_store.hpp
@@ -34,13 +34,13 @@
 	/// Newest version that the registry had; the next call continues from it.
 	row_version newest;
 
-	/// Registry's steady clock when it answered.
+	/// Reading of the registry's steady clock when it responded.
 	registry_time at{};
 
 	/// Age of the data when the response was given: 0 for the registry itself, more for another VM's copy.
 	duration age{};
 
-	/// True if the answering VM itself reads the registry through another VM.
+	/// True if the responding VM itself reads the registry through another VM.
 	bool is_relayed{};
 
 	/// Lower bound on how long the call was held before it was answered. A response without changes after the
--- a/include/gingerdyke/control/shared_store.hpp
+++ b/include/gingerdyke/control/shared_store.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Store that reads the registry through another VM if that VM's copy is fresh enough.
+// Store that reads the registry through another VM if that VM's copy is fresh enough. A VM that reads the
+// registry itself is called a reader; see source_selector.hpp.
 #pragma once
 
 #include <gingerdyke/control/relay_client.hpp>
@@ -33,7 +34,7 @@
 	/// failure domain would call the registry when they lose their reader.
 	std::size_t takeover_wait_min_rank = 2;
 
-	/// Backoff of a failed source plus a margin.
+	/// Back-off of a failed source plus a margin.
 	duration takeover_wait = std::chrono::milliseconds{550};
 
 	/// Timeout for reading a full table from another VM, which may have to read it itself first if it has
--- a/include/gingerdyke/control/source_selector.hpp
+++ b/include/gingerdyke/control/source_selector.hpp
@@ -34,7 +34,7 @@
 	/// Number of VMs of a failure domain that read the registry themselves.
 	unsigned readers = 1;
 
-	/// Backoff of a source that is unreachable, doubled after each failure up to the maximum.
+	/// Back-off of a source that is unreachable, doubled after each failure up to the maximum.
 	duration initial_backoff = std::chrono::milliseconds{500};
 	duration max_backoff = std::chrono::seconds{30};
 
@@ -77,14 +77,14 @@
 	/// a few VMs of the highest rank read the registry, and the others are distributed over their copies.
 	[[nodiscard]] std::optional<peer> choose_for_full_read(const std::string& table, instant now) const;
 
-	/// \brief Returns when the backoff of the registry after a failure ends; none if it may be asked now.
+	/// \brief Returns when the back-off of the registry after a failure ends; none if it may be asked now.
 	[[nodiscard]] std::optional<instant> registry_backoff_until(instant now) const;
 
 	/// \brief Returns the rank of this VM: the number of VMs of its failure domain that are preferred over
 	/// it.
 	[[nodiscard]] std::size_t rank() const;
 
-	/// \brief Records that a source is unreachable, or that it answered but reads the registry through
+	/// \brief Records that a source is unreachable, or that it responded but reads the registry through
 	/// another VM itself: two VMs that read each other's copies would both become stale.
 	/// \param source None for the registry itself.
 	void record_unusable(const std::optional<peer>& source, instant now);
--- a/include/gingerdyke/control/suspect_rows.hpp
+++ b/include/gingerdyke/control/suspect_rows.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Stores requests during which replicas terminated in the registry, one row each, read by all VMs. They are
-// thereby known to VMs of other failure domains and survive a restart of all VMs.
+// Stores in the registry the requests during which replicas exited, one row each, read by all VMs. The
+// requests are thereby known to VMs of other failure domains, also after a restart of all VMs.
 #pragma once
 
 #include <gingerdyke/base/finding.hpp>
@@ -15,15 +15,15 @@
 
 namespace gingerdyke::control
 {
-/// Key prefix of these rows.
+/// Key prefix of the rows of suspected requests.
 inline constexpr std::string_view suspect_key_prefix = "suspect/";
 
 /// \brief A suspicion as stored in its row.
 struct stored_suspicion
 {
-	quarantine::suspicion known;
+	quarantine::suspicion evidence;
 
-	/// When a replica last terminated during the request.
+	/// When a replica last exited during the request.
 	registry_time last_exit_at{};
 };
 
@@ -36,7 +36,7 @@
 /// \brief Tuning of `suspect_rows`.
 struct suspect_rows_tuning
 {
-	/// Delay that collects changes, so that one termination causes one write for all requests that were in
+	/// Delay that collects changes, so that one exit causes one write for all requests that were in
 	/// progress on the replica. Suspicions have to reach all VMs within the required 3 s; a report and a
 	/// change feed take 0.2 s each.
 	duration batch_delay = std::chrono::milliseconds{200};
@@ -69,7 +69,7 @@
 	void record_reads_registry(bool reads_registry) { reads_registry_ = reads_registry; }
 
 	/// \brief Schedules a write; to be called when the list has changes to store.
-	void arm();
+	void schedule_store();
 	void stop();
 
   private:
@@ -100,13 +100,13 @@
 	{
 		row_version version{};
 
-		/// When a replica last terminated during the request; none if the row is malformed.
+		/// When a replica last exited during the request; none if the row is malformed.
 		std::optional<instant> last_exit_at;
 	};
 
 	/// The rows as last seen by this VM. Each write is conditional on the row being unchanged; otherwise
-	/// terminations stored by another VM a moment ago would be overwritten, and after a restart of all VMs
-	/// fewer of them would be known.
+	/// exits stored by another VM a moment ago would be overwritten, and after a restart of all VMs fewer of
+	/// them would be known.
 	std::map<std::string, known_row> rows_;
 	bool reads_registry_ = false;
 	bool is_write_scheduled_ = false;
--- a/include/gingerdyke/control/table_follower.hpp
+++ b/include/gingerdyke/control/table_follower.hpp
@@ -20,7 +20,7 @@
 	/// Pause after a response with changes, so that further changes arrive in one batch; 0 for none.
 	duration batch_delay = duration{0};
 
-	/// Backoff after a failed call, doubled after each failure up to the maximum, with a random spread of
+	/// Back-off after a failed call, doubled after each failure up to the maximum, with a random spread of
 	/// 50%.
 	duration initial_backoff = std::chrono::milliseconds{100};
 	duration max_backoff = std::chrono::milliseconds{500};
--- a/include/gingerdyke/membership/member.hpp
+++ b/include/gingerdyke/membership/member.hpp
@@ -13,7 +13,7 @@
 enum class member_state
 {
 	live,
-	leaving,
+	draining,
 	gone,
 };
 
@@ -38,7 +38,7 @@
 	bool operator==(const member&) const = default;
 };
 
-/// \brief Revision of the platform's member list.
+/// \brief One revision of the platform's member list.
 struct member_list
 {
 	std::int64_t list_revision{};
--- a/include/gingerdyke/membership/membership_view.hpp
+++ b/include/gingerdyke/membership/membership_view.hpp
@@ -18,7 +18,7 @@
 [[nodiscard]] std::uint64_t rendezvous_weight(std::string_view key, const vm_id& vm) noexcept;
 
 /// \brief The VMs known to this VM. The platform's newest list replaces the previous one entirely, except
-/// that a VM that announced its departure counts as leaving at once.
+/// that a VM counts as draining as soon as it has announced it.
 class membership_view
 {
   public:
@@ -30,8 +30,8 @@
 	/// \returns Whether it was newer.
 	bool apply(const member_list& list);
 
-	/// \brief Records that a VM announced its departure.
-	void note_leaving(const vm_id& vm);
+	/// \brief Records that a VM announced that it is draining.
+	void record_draining(const vm_id& vm);
 
 	/// \brief Counter that grows with each change, for callers that cache results derived from the
 	/// membership.
@@ -63,8 +63,8 @@
 	/// \brief Returns a listed VM; null if it was never listed.
 	[[nodiscard]] const member* find(const vm_id& vm) const;
 
-	/// \brief Returns whether an upstream VM is leaving or gone. A VM that was never listed counts as live.
-	[[nodiscard]] bool is_upstream_leaving(const vm_id& vm) const;
+	/// \brief Returns whether an upstream VM is draining or gone. A VM that was never listed counts as live.
+	[[nodiscard]] bool is_upstream_draining(const vm_id& vm) const;
 
   private:
 	void rebuild_index();
@@ -73,7 +73,7 @@
 	member_list list_;
 	std::map<vm_id, member> by_id_;
 	std::map<failure_domain_id, std::vector<vm_id>> live_entries_;
-	std::set<vm_id> announced_leaving_;
+	std::set<vm_id> announced_draining_;
 	std::uint64_t generation_ = 0;
 };
 
--- a/src/control/coordinator.cpp
+++ b/src/control/coordinator.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Connects the registry to the data path: applies tables and writes plans. The exchange with other VMs is in
-// coordinator_peers.cpp.
+// Connects the registry to the data path: applies tables and writes plans of version shifts. The exchange
+// with other VMs is in coordinator_peers.cpp.
 #include <gingerdyke/control/coordinator.hpp>
 #include <gingerdyke/log/log.hpp>
 
@@ -22,9 +22,10 @@
 
 coordinator_tuning tuning_for(duration propagation_limit)
 {
-	// Shares of `propagation_limit`: the wait of a reader's poll, the maximum age of another VM's copy and that of
-	// the own copy. The second exceeds the first by the time for the reader's response; the rest of the limit
-	// is for learning of a change from another VM, its last part for the registry's own response.
+	// Shares of `propagation_limit`: the wait of a reader's poll, the maximum age of another VM's copy and
+	// that of the own copy. The second exceeds the first by the time for the reader's response. The rest of
+	// the limit is for learning of a change from another VM, and what exceeds the third for the registry's
+	// own response.
 	constexpr double poll_wait_ratio = 0.35;
 	constexpr double peer_copy_ratio = 0.55;
 	constexpr double own_copy_ratio = 0.75;
@@ -124,8 +125,8 @@
 	register_timer_.cancel();
 }
 
-/// Checked with each response or failure for the operators' table, the one polled most often; calls that were
-/// pending during a suspension fail at the latest.
+/// Checked with each response or failure for the operators' table, the one polled most often: a call that was
+/// pending during a suspension fails after it, so the suspension is noticed then at the latest.
 void coordinator::check_machine_suspension()
 {
 	const auto monotonic_now = std::chrono::steady_clock::now().time_since_epoch();
--- a/src/control/coordinator_peers.cpp
+++ b/src/control/coordinator_peers.cpp
@@ -23,7 +23,7 @@
 		gateway_.versions().set_reads_registry(reads_registry);
 		reads_registry_ = reads_registry;
 		suspect_rows_.record_reads_registry(reads_registry);
-		suspect_rows_.arm();
+		suspect_rows_.schedule_store();
 		follow_evidence();
 		schedule_write();
 	};
@@ -100,7 +100,7 @@
 	const auto now = proxy::steady_now();
 	reports_.set_work(reporter_, gateway_.selector().outstanding_work(), now);
 	reports_.set_limits(reporter_, gateway_.load_limits().local_updates(now), now);
-	// Requests with a single termination are only of use to the VM that aggregates them.
+	// Requests with a single exit are only of use to the VM that aggregates them.
 	constexpr std::size_t min_exits = 2;
 	return {reports_.work_excluding(reporter, now), gateway_.versions().suspensions(),
 		gateway_.suspects().recent_changes(min_exits, now), reports_.limits_excluding(reporter, now)};
@@ -135,7 +135,7 @@
 	}
 	if (!suspects.empty())
 	{
-		suspect_rows_.arm();
+		suspect_rows_.schedule_store();
 	}
 }
 
--- a/src/control/relay_server.cpp
+++ b/src/control/relay_server.cpp
@@ -145,8 +145,8 @@
 	auto& cached = packed_tables_[poll.table];
 	if (!cached.bytes || cached.newest != to.result->newest)
 	{
-		const auto whole = from.read(std::nullopt, now);
-		cached = {whole->newest, std::make_shared<const std::string>(pack_rows(whole->rows))};
+		const auto full_table = from.read(std::nullopt, now);
+		cached = {full_table->newest, std::make_shared<const std::string>(pack_rows(full_table->rows))};
 	}
 	to.packed = cached.bytes;
 }
--- a/src/control/report_message.cpp
+++ b/src/control/report_message.cpp
@@ -205,23 +205,23 @@
 	return all;
 }
 
-std::vector<std::int64_t> to_wire(const std::set<quarantine::process_instance>& lives)
+std::vector<std::int64_t> to_wire(const std::set<quarantine::process_instance>& processes)
 {
 	std::vector<std::int64_t> all;
-	all.reserve(lives.size());
-	for (const auto life : lives)
+	all.reserve(processes.size());
+	for (const auto process : processes)
 	{
-		all.push_back(life.value());
+		all.push_back(process.value());
 	}
 	return all;
 }
 
-std::set<quarantine::process_instance> processes_from_wire(const std::vector<std::int64_t>& lives)
+std::set<quarantine::process_instance> processes_from_wire(const std::vector<std::int64_t>& processes)
 {
 	std::set<quarantine::process_instance> all;
-	for (const auto life : lives)
+	for (const auto process : processes)
 	{
-		all.insert(quarantine::process_instance{life});
+		all.insert(quarantine::process_instance{process});
 	}
 	return all;
 }
@@ -234,11 +234,11 @@
 	{
 		auto& added = all.emplace_back();
 		added.key = suspicion.key.str();
-		for (const auto& [life, together] : suspicion.ended)
+		for (const auto& [process, simultaneous] : suspicion.ended)
 		{
-			auto& end = added.ended.emplace_back();
-			end.life = life.value();
-			end.together = to_wire(together);
+			auto& wire_exit = added.ended.emplace_back();
+			wire_exit.life = process.value();
+			wire_exit.together = to_wire(simultaneous);
 		}
 		added.survived = to_wire(suspicion.survived);
 	}
@@ -253,14 +253,16 @@
 	{
 		auto& added = all.emplace_back();
 		added.key = quarantine::request_key{suspicion.key};
-		for (const auto& end : suspicion.ended)
+		for (const auto& wire_exit : suspicion.ended)
 		{
-			added.ended[quarantine::process_instance{end.life}] = processes_from_wire(end.together);
+			added.ended[quarantine::process_instance{wire_exit.life}] =
+				processes_from_wire(wire_exit.together);
 		}
 		added.survived = processes_from_wire(suspicion.survived);
 	}
 	return all;
 }
+
 std::vector<wire::RelayLimit> to_wire(const std::vector<routing::limit_update>& limits)
 {
 	std::vector<wire::RelayLimit> all;
--- a/src/control/row_packing.cpp
+++ b/src/control/row_packing.cpp
@@ -38,8 +38,8 @@
 	state.avail_in = bytes.size();
 	state.next_out = packed.data() + sizeof size;
 	state.avail_out = packed.size() - sizeof size;
-	boost::beast::error_code ended;
-	stream.write(state, zlib::Flush::finish, ended);
+	boost::beast::error_code ignored;
+	stream.write(state, zlib::Flush::finish, ignored);
 	packed.resize(sizeof size + state.total_out);
 	return packed;
 }
@@ -63,8 +63,8 @@
 	state.avail_in = packed.size() - sizeof(size_field);
 	state.next_out = bytes.data();
 	state.avail_out = bytes.size();
-	boost::beast::error_code ended;
-	stream.write(state, zlib::Flush::finish, ended);
+	boost::beast::error_code ignored;
+	stream.write(state, zlib::Flush::finish, ignored);
 	// Whether the end-of-stream marker is reported depends on the alignment of the last bits, so the output
 	// size is checked instead.
 	return state.total_out == size ? std::optional{std::move(bytes)} : std::nullopt;
--- a/src/control/shared_store.cpp
+++ b/src/control/shared_store.cpp
@@ -294,7 +294,7 @@
 	{
 		sources_.record_unusable(from, now);
 	}
-	// Its other calls would only fail later or return stale rows.
+	// The other calls to this VM would only fail later or return stale rows.
 	client_of(from)->abandon();
 }
 
@@ -317,11 +317,11 @@
 
 std::shared_ptr<relay_client> shared_store::client_of(const peer& to)
 {
-	auto& known = clients_[to.vm];
-	if (!known || known->to() != to)
+	auto& client = clients_[to.vm];
+	if (!client || client->to() != to)
 	{
-		known = std::make_shared<relay_client>(context_, to, hooks_.summary_received);
+		client = std::make_shared<relay_client>(context_, to, hooks_.summary_received);
 	}
-	return known;
+	return client;
 }
 } // namespace gingerdyke::control
--- a/src/control/source_selector.cpp
+++ b/src/control/source_selector.cpp
@@ -12,10 +12,10 @@
 {
 namespace
 {
-/// Backoff key of the registry itself; no VM has an empty name.
+/// Key of the registry in `backoffs_`; no VM has an empty name.
 const std::string registry_key;
 
-/// Stands for all tables; no table has an empty name.
+/// Stands for all tables in `stale_copies_`; no table has an empty name.
 const std::string all_tables;
 
 /// Makes the choice among readers of full tables independent of the rank order.
@@ -127,7 +127,7 @@
 		return std::nullopt;
 	}
 	// Distributes the other VMs over the readers in proportion to the readers' links. The hash differs from
-	// the one of the rank, by which all non-readers lie at one end of the range.
+	// that of the rank, since all non-readers lie at one end of the range of the latter.
 	const auto links = local_links();
 	const auto total_mbps =
 		std::accumulate(links.begin(), links.begin() + static_cast<std::ptrdiff_t>(readers), 0.0);
--- a/src/control/suspect_rows.cpp
+++ b/src/control/suspect_rows.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Stores requests during which replicas terminated in the registry.
+// Stores in the registry the requests during which replicas exited.
 #include <algorithm>
 #include <gingerdyke/control/row_json.hpp>
 #include <gingerdyke/control/suspect_rows.hpp>
@@ -10,12 +10,12 @@
 {
 namespace
 {
-json processes_to_json(const std::set<quarantine::process_instance>& lives)
+json processes_to_json(const std::set<quarantine::process_instance>& processes)
 {
 	json all = json::array();
-	for (const auto life : lives)
+	for (const auto process : processes)
 	{
-		all.push_back(life.value());
+		all.push_back(process.value());
 	}
 	return all;
 }
@@ -30,12 +30,12 @@
 	return all;
 }
 
-json exits_to_json(const quarantine::process_exits& ended)
+json exits_to_json(const quarantine::process_exits& exits)
 {
 	json all = json::array();
-	for (const auto& [life, together] : ended)
+	for (const auto& [process, simultaneous] : exits)
 	{
-		all.push_back({{"life", life.value()}, {"together", processes_to_json(together)}});
+		all.push_back({{"life", process.value()}, {"together", processes_to_json(simultaneous)}});
 	}
 	return all;
 }
@@ -59,8 +59,9 @@
 
 std::string write_suspicion(const stored_suspicion& stored)
 {
-	return json{{"ended", exits_to_json(stored.known.ended)},
-		{"survived", processes_to_json(stored.known.survived)}, {"last_end_us", stored.last_exit_at.count()}}
+	return json{{"ended", exits_to_json(stored.evidence.ended)},
+		{"survived", processes_to_json(stored.evidence.survived)},
+		{"last_end_us", stored.last_exit_at.count()}}
 		.dump();
 }
 
@@ -70,9 +71,9 @@
 		[&](const json& value) -> checked<stored_suspicion>
 		{
 			stored_suspicion read;
-			read.known.key = quarantine::request_key{from.key.substr(suspect_key_prefix.size())};
-			read.known.ended = exits_from_json(value.at("ended"));
-			read.known.survived = processes_from_json(value.at("survived"));
+			read.evidence.key = quarantine::request_key{from.key.substr(suspect_key_prefix.size())};
+			read.evidence.ended = exits_from_json(value.at("ended"));
+			read.evidence.survived = processes_from_json(value.at("survived"));
 			read.last_exit_at = registry_time{value.at("last_end_us").get<std::int64_t>()};
 			return read;
 		});
@@ -120,18 +121,19 @@
 		return;
 	}
 	known.last_exit_at = std::min(now, instant{read->last_exit_at - *registry_clock_offset_});
-	suspects_.merge_stored(read->known, *known.last_exit_at, now);
-	arm();
+	suspects_.merge_stored(read->evidence, *known.last_exit_at, now);
+	schedule_store();
 }
 
-void suspect_rows::arm()
+void suspect_rows::schedule_store()
 {
 	write_after(tuning_.batch_delay);
 }
 
 void suspect_rows::write_after(duration pause)
 {
-	if (is_write_scheduled_ || is_writing_ || suspects_.unstored(reads_registry_, proxy::steady_now()).empty())
+	if (is_write_scheduled_ || is_writing_ ||
+		suspects_.unstored(reads_registry_, proxy::steady_now()).empty())
 	{
 		return;
 	}
@@ -219,7 +221,7 @@
 	{
 		suspects_.merge_stored(suspicion, suspects_.last_exit(suspicion.key).value_or(now), now);
 	}
-	arm();
+	schedule_store();
 }
 
 /// Applies the current rows first; what they lack is written with the next change.
@@ -240,7 +242,7 @@
 			on_row({table_, condition.key, {}, condition.version, true}, now);
 		}
 	}
-	arm();
+	schedule_store();
 }
 
 /// Removal is combined with writes, which keeps the number of rows small for all readers.
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -28,9 +28,9 @@
 	return true;
 }
 
-void membership_view::note_leaving(const vm_id& vm)
+void membership_view::record_draining(const vm_id& vm)
 {
-	if (announced_leaving_.insert(vm).second)
+	if (announced_draining_.insert(vm).second)
 	{
 		rebuild_index();
 	}
@@ -48,7 +48,7 @@
 	by_id_.try_emplace(self_.vm, self_);
 	for (const auto& [id, vm_member] : by_id_)
 	{
-		const bool is_live = vm_member.state == member_state::live && !announced_leaving_.contains(id);
+		const bool is_live = vm_member.state == member_state::live && !announced_draining_.contains(id);
 		if (vm_member.kind == member_kind::entry && (is_live || id == self_.vm))
 		{
 			live_entries_[vm_member.failure_domain].push_back(id);
@@ -113,7 +113,7 @@
 	return found == by_id_.end() ? nullptr : &found->second;
 }
 
-bool membership_view::is_upstream_leaving(const vm_id& vm) const
+bool membership_view::is_upstream_draining(const vm_id& vm) const
 {
 	const auto* known = find(vm);
 	return known != nullptr && known->state != member_state::live;
--- a/src/node/core.cpp
+++ b/src/node/core.cpp
@@ -122,7 +122,7 @@
 	{
 		if (body.leaving)
 		{
-			node.live_.note_leaving(from.from.vm);
+			node.live_.record_draining(from.from.vm);
 		}
 		node.suspend(node.suspensions_.filter_unknown(body.suspensions), now, out);
 		run(node.spread_.on_digest(from, body, now), out);
--- a/src/node/request_desk.cpp
+++ b/src/node/request_desk.cpp
@@ -247,7 +247,7 @@
 								 ? record.table->endpoints_of(record.service->id)
 								 : record.table->replicas_of(record.version);
 	const auto leaves = [&](const replica_id& id)
-	{ return parts_.live.is_upstream_leaving(vm_id{id.str()}); };
+	{ return parts_.live.is_upstream_draining(vm_id{id.str()}); };
 	auto choice = parts_.board.choose(
 		candidates, parts_.live.self().failure_domain, record.in.prefix, record.tried, leaves, now);
 	if (record.trace.decisions.empty())
--- a/standin/platform_roles.cpp
+++ b/standin/platform_roles.cpp
@@ -103,7 +103,7 @@
 			if (one.vm.str() == value.value("vm", ""))
 			{
 				one.state = state == "live"      ? membership::member_state::live
-							: state == "leaving" ? membership::member_state::leaving
+							: state == "leaving" ? membership::member_state::draining
 												 : membership::member_state::gone;
 				++list.list_revision;
 				return;
--- a/tests/control/peer_report.cpp
+++ b/tests/control/peer_report.cpp
@@ -70,19 +70,19 @@
 	std::optional<peer_summary> summary;
 	const auto client = std::make_shared<relay_client>(context, make_peer("other", "a", port),
 		[&](const peer_summary& received_summary) { summary = received_summary; });
-	rollout::shift_evidence seen{service_id{"s"}, row_version{12}, {}};
-	seen.seen.by_route["r"].pre_trial = {70, 2};
-	seen.seen.by_route["r"].old_version[30] = {50, 1};
-	seen.seen.by_route["r"].new_version[3] = {9, 2};
-	seen.seen.first_byte_by_model["m"].pre_trial.record(1);
-	seen.seen.first_byte_by_model["m"].old_version[31].record(2);
-	seen.seen.first_byte_by_model["m"].new_version[0].record(8);
-	seen.seen.event_intervals_by_model["m"].baseline.record(0.8);
-	seen.seen.event_intervals_by_model["m"].new_version[5].record(3);
-	seen.seen.peak_load_phase.new_version[1] = {4, 1};
+	rollout::shift_evidence new_evidence{service_id{"s"}, row_version{12}, {}};
+	new_evidence.seen.by_route["r"].pre_trial = {70, 2};
+	new_evidence.seen.by_route["r"].old_version[30] = {50, 1};
+	new_evidence.seen.by_route["r"].new_version[3] = {9, 2};
+	new_evidence.seen.first_byte_by_model["m"].pre_trial.record(1);
+	new_evidence.seen.first_byte_by_model["m"].old_version[31].record(2);
+	new_evidence.seen.first_byte_by_model["m"].new_version[0].record(8);
+	new_evidence.seen.event_intervals_by_model["m"].baseline.record(0.8);
+	new_evidence.seen.event_intervals_by_model["m"].new_version[5].record(3);
+	new_evidence.seen.peak_load_phase.new_version[1] = {4, 1};
 	const rollout::shift_suspension suspension{service_id{"s"}, row_version{12}};
-	const peer_report report{"me", {{replica_id{"r1"}, 40}}, {seen}, {suspension}, {make_suspicion("seen")},
-		{make_limit("r2", 1.5, milliseconds{20})}};
+	const peer_report report{"me", {{replica_id{"r1"}, 40}}, {new_evidence}, {suspension},
+		{make_suspicion("seen")}, {make_limit("r2", 1.5, milliseconds{20})}};
 	client->call({0, "t", row_version{3}, milliseconds{1}, {}, report}, seconds{20},
 		[](const store_result<row_batch>&) {});
 	test::run_until(context, [&] { return summary.has_value(); });
@@ -94,7 +94,7 @@
 	REQUIRE(reported);
 	CHECK(reported->work.front().tokens == 40);
 	REQUIRE(reported->evidence.size() == 1);
-	CHECK(reported->evidence.front().seen == seen.seen);
+	CHECK(reported->evidence.front().seen == new_evidence.seen);
 	REQUIRE(reported->suspended.size() == 1);
 	CHECK(reported->suspended.front().order.value() == 12);
 	CHECK(reported->suspects == std::vector{make_suspicion("seen")});
--- a/tests/control/shared_store.cpp
+++ b/tests/control/shared_store.cpp
@@ -56,11 +56,12 @@
 
 	shared_store_hooks hooks()
 	{
-		auto made = quiet_hooks();
-		made.reader_role_changed = [this](bool reads_registry) { role_changes.push_back(reads_registry); };
-		made.copy_confirmed = [this](const std::string& table, instant)
+		auto store_hooks = quiet_hooks();
+		store_hooks.reader_role_changed = [this](bool reads_registry)
+		{ role_changes.push_back(reads_registry); };
+		store_hooks.copy_confirmed = [this](const std::string& table, instant)
 		{ confirmed_tables.push_back(table); };
-		return made;
+		return store_hooks;
 	}
 
 	proxy::asio::io_context context{1};
@@ -157,7 +158,7 @@
 	CHECK(world.registry.follows.front().wait == duration{0});
 }
 
-TEST_CASE("a VM whose own copy is overdue respects the registry's backoff", "[relay]")
+TEST_CASE("a VM whose own copy is overdue respects the registry's back-off", "[relay]")
 {
 	auto tuning = untimed_tuning();
 	tuning.max_own_copy_age = duration{0};
@@ -173,8 +174,8 @@
 	// Guards against waits that outlast the freshness of the own copy. Two sources that had lost the registry
 	// each held a poll for 0.9 s and returned a copy that had become stale meanwhile, then the VM waited 0.55
 	// s for another reader; the registry was asked 2.7 s after the VM's copy of the replicas' table had last
-	// been the newest. A request reached a replica 3.3 s after it had announced that it leaves; 3 s are
-	// allowed. The age of the own copy was checked between waits, but did not bound their lengths.
+	// been the newest. A request reached a replica 3.3 s after the replica had announced that it is draining;
+	// 3 s are allowed. The age of the own copy was checked between waits, but did not bound their lengths.
 	auto tuning = untimed_tuning();
 	tuning.max_own_copy_age = milliseconds{600};
 	tuning.max_follow_sources = 1;
@@ -211,7 +212,7 @@
 	CHECK(world.registry.follows.front().table == "t");
 }
 
-TEST_CASE("during the registry's backoff another VM has the full timeout to return a full table", "[relay]")
+TEST_CASE("during the registry's back-off another VM has the full timeout to return a full table", "[relay]")
 {
 	auto tuning = untimed_tuning();
 	tuning.max_own_copy_age = duration{0};
--- a/tests/control/source_selector.cpp
+++ b/tests/control/source_selector.cpp
@@ -197,7 +197,7 @@
 	}
 }
 
-TEST_CASE("choose_for_full_read skips unusable readers and a registry in backoff", "[sources]")
+TEST_CASE("choose_for_full_read skips unusable readers and a registry in back-off", "[sources]")
 {
 	const auto peers = large_domain(16);
 	std::optional<peer> last;
--- a/tests/control/suspect_rows.cpp
+++ b/tests/control/suspect_rows.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Registry rows of requests during which replicas terminated.
+// Registry rows of requests during which replicas exited.
 #include "../support/control_world.hpp"
 #include <gingerdyke/control/suspect_rows.hpp>
 
@@ -14,9 +14,9 @@
 /// A registry that records writes; the test answers them.
 struct recording_registry : scripted_store
 {
-	void change(const row_change& what, std::function<void(store_result<change_result>)> done) override
+	void change(const row_change& transaction, std::function<void(store_result<change_result>)> done) override
 	{
-		changes.push_back(what);
+		changes.push_back(transaction);
 		pending_changes.push_back(std::move(done));
 	}
 
@@ -36,12 +36,13 @@
 {
 	stored_suspects() { rows.record_registry_time(registry_time{seconds{500}}, proxy::steady_now()); }
 
-	void record_exit(int life, const char* key)
+	/// Records that a process exited while it was running a request.
+	void record_exit(int process, const char* key)
 	{
 		const auto now = proxy::steady_now();
-		list.presume(process_instance{life}, {request_key{key}}, now);
-		list.confirm(process_instance{life}, {}, now);
-		rows.arm();
+		list.presume(process_instance{process}, {request_key{key}}, now);
+		list.confirm(process_instance{process}, {}, now);
+		rows.schedule_store();
 	}
 
 	[[nodiscard]] row stored_row() const
@@ -60,16 +61,16 @@
 
 TEST_CASE("a suspicion round-trips through its row and malformed rows are rejected", "[quarantine]")
 {
-	stored_suspicion what{
+	stored_suspicion content{
 		{request_key{"k"},
 			{{process_instance{-3}, {}}, {process_instance{4}, {process_instance{5}, process_instance{-6}}}},
 			{process_instance{1}}},
 		registry_time{77}};
-	const row written{"own", "suspect/k", write_suspicion(what), row_version{1}, false};
+	const row written{"own", "suspect/k", write_suspicion(content), row_version{1}, false};
 	const auto read = read_suspicion(written);
 	REQUIRE(read);
-	CHECK(read->known == what.known);
-	CHECK(read->last_exit_at == what.last_exit_at);
+	CHECK(read->evidence == content.evidence);
+	CHECK(read->last_exit_at == content.last_exit_at);
 	for (const auto* broken : {"", "[]", "{}", R"({"ended":["x"],"survived":[],"last_end_us":1})",
 			 R"({"ended":[{"life":1,"together":["x"]}],"survived":[],"last_end_us":1})"})
 	{
@@ -77,7 +78,7 @@
 	}
 }
 
-TEST_CASE("two terminations seen by one VM are stored once, and a failed write is retried", "[quarantine]")
+TEST_CASE("two exits seen by one VM are stored once, and a failed write is retried", "[quarantine]")
 {
 	stored_suspects vm;
 	vm.record_exit(1, "k");
@@ -89,7 +90,7 @@
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	vm.store.answer(change_result{true, {}});
 	CHECK(vm.list.unstored(false, proxy::steady_now()).empty());
-	vm.rows.arm();
+	vm.rows.schedule_store();
 	vm.context.restart();
 	vm.context.run_for(milliseconds{20});
 	CHECK(vm.store.changes.size() == 2);
@@ -104,13 +105,13 @@
 	vm.record_exit(3, "k");
 	vm.store.answer(change_result{true, {}});
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
-	CHECK(read_suspicion(vm.stored_row())->known.ended.size() == 3);
+	CHECK(read_suspicion(vm.stored_row())->evidence.ended.size() == 3);
 }
 
 // Guards against overwriting concurrent writes. Two VMs wrote the row of one request at the same time, the
-// later write held fewer terminations, and both VMs took the row for complete. After a restart of all VMs 4 s
-// later the row held two of three terminations, and four more replicas terminated.
-TEST_CASE("terminations stored concurrently by another VM are not overwritten", "[quarantine]")
+// later write contained fewer exits, and both VMs took the row for complete. After a restart of all VMs 4 s
+// later the row contained two of three exits, and four more replicas exited.
+TEST_CASE("exits stored concurrently by another VM are not overwritten", "[quarantine]")
 {
 	stored_suspects vm;
 	vm.record_exit(1, "k");
@@ -121,16 +122,16 @@
 	CHECK(first.conditions.front().key == "suspect/k");
 	CHECK(first.conditions.front().version == row_version{0});
 	stored_suspects other;
-	for (const int life : {2, 7, 8})
+	for (const int process : {2, 7, 8})
 	{
-		other.record_exit(life, "k");
+		other.record_exit(process, "k");
 	}
 	run_until(other.context, [&] { return other.store.changes.size() == 1; });
 	vm.store.answer(change_result{false, {other.stored_row()}});
 	run_until(vm.context, [&] { return vm.store.changes.size() == 2; });
 	REQUIRE(vm.store.changes.back().conditions.size() == 1);
 	CHECK(vm.store.changes.back().conditions.front().version == other.stored_row().version);
-	CHECK(read_suspicion(vm.stored_row())->known.ended.size() == 4);
+	CHECK(read_suspicion(vm.stored_row())->evidence.ended.size() == 4);
 }
 
 // The registry rejects transactions of more than 100 entries, conditions included, as a whole.
@@ -146,15 +147,16 @@
 		many.emplace_back("k" + std::to_string(i));
 		const stored_suspicion old{{request_key{"old" + std::to_string(i)}, {{process_instance{1}, {}}}, {}},
 			registry_time{seconds{500} - std::chrono::minutes{11}}};
-		vm.rows.on_row({"own", "suspect/" + old.known.key.str(), write_suspicion(old), row_version{1}, false},
+		vm.rows.on_row(
+			{"own", "suspect/" + old.evidence.key.str(), write_suspicion(old), row_version{1}, false},
 			proxy::steady_now());
 	}
-	for (const int life : {1, 2})
+	for (const int process : {1, 2})
 	{
-		vm.list.presume(process_instance{life}, many, proxy::steady_now());
-		vm.list.confirm(process_instance{life}, {}, proxy::steady_now());
+		vm.list.presume(process_instance{process}, many, proxy::steady_now());
+		vm.list.confirm(process_instance{process}, {}, proxy::steady_now());
 	}
-	vm.rows.arm();
+	vm.rows.schedule_store();
 	for (std::size_t written = 0; written < many.size(); written += vm.store.changes.front().puts.size())
 	{
 		const auto before = vm.store.changes.size();
@@ -189,13 +191,13 @@
 	CHECK(vm.store.changes.size() == 2);
 }
 
-TEST_CASE("a starting VM holds back requests with stored suspicions until an operator removes the row",
+TEST_CASE("a starting VM quarantines requests with stored suspicions until an operator removes the row",
 	"[quarantine]")
 {
 	stored_suspects vm;
-	for (const int life : {1, 2, 3})
+	for (const int process : {1, 2, 3})
 	{
-		vm.record_exit(life, "k");
+		vm.record_exit(process, "k");
 	}
 	run_until(vm.context, [&] { return !vm.store.changes.empty(); });
 	stored_suspects other;
@@ -217,12 +219,12 @@
 	suspect_rows rows{context, store, list, "own"};
 	const auto row_of = [](const char* key, duration age)
 	{
-		const stored_suspicion what{
+		const stored_suspicion content{
 			{request_key{key},
 				{{process_instance{1}, {}}, {process_instance{2}, {}}, {process_instance{3}, {}}}, {}},
 			registry_time{seconds{5000}} - age};
 		return row{
-			"own", std::string{suspect_key_prefix} + key, write_suspicion(what), row_version{1}, false};
+			"own", std::string{suspect_key_prefix} + key, write_suspicion(content), row_version{1}, false};
 	};
 	rows.on_row(row_of("new", seconds{10}), proxy::steady_now());
 	rows.on_row(row_of("old", std::chrono::minutes{11}), proxy::steady_now());
@@ -232,7 +234,7 @@
 	CHECK_FALSE(list.last_exit(request_key{"old"}));
 }
 
-TEST_CASE("an expired row holds back no request and is removed with the next write", "[quarantine]")
+TEST_CASE("an expired row quarantines no request and is removed with the next write", "[quarantine]")
 {
 	stored_suspects vm;
 	const stored_suspicion old{
--- a/tests/peer/codec.cpp
+++ b/tests/peer/codec.cpp
@@ -20,7 +20,7 @@
 		peer::table_pull{revision{3}},
 		peer::table_push{revision{1}, revision{2}, {{row_id{"class/x"}, revision{2}, "{}", false}}},
 		peer::member_push{{4, {{vm_id{"v"}, failure_domain_id{"f"}, membership::member_kind::upstream,
-								  membership::member_state::leaving, "127.0.0.1:1"}}}},
+								  membership::member_state::draining, "127.0.0.1:1"}}}},
 		peer::journal_put{{bill}},
 		peer::journal_ack{{request_id{"r"}}, ledger::bill_state::final_amount},
 		peer::journal_forget{{request_id{"r"}}},
--- a/tests/support/world_requests.cpp
+++ b/tests/support/world_requests.cpp
@@ -400,7 +400,7 @@
 			{
 				if (member.vm.str() == id.str())
 				{
-					member.state = membership::member_state::leaving;
+					member.state = membership::member_state::draining;
 				}
 			}
 			publish_members();
