--- a/emulator/shift_emulator.cpp
+++ b/emulator/shift_emulator.cpp
@@ -23,11 +23,11 @@
 constexpr const char* new_version = "v2";
 constexpr duration time_step = milliseconds{50};
 
-/// A VM sends its report to its reader with each poll of the operators' table; the response contains the
-/// summary.
+/// Interval at which a VM polls the operators' table through its reader, the VM of its failure domain that
+/// reads the registry. Each poll carries the VM's report; the response contains the summary.
 constexpr duration report_interval = milliseconds{250};
 
-/// Delay until rows written by one reader reach the others.
+/// Delay until rows written by one reader reach the readers of the other failure domains.
 constexpr duration row_propagation_delay = milliseconds{200};
 
 /// After this many bad responses the new version must be out of use within the time limit below.
@@ -56,7 +56,7 @@
 {
   public:
 	explicit shift_simulation(const shift_setup& setup)
-		: setup_(setup), random_(seeded_random{setup.seed}), origin_(now_ + warm_up),
+		: setup_(setup), random_(seeded_random{setup.seed}), order_time_(now_ + warm_up),
 		  burst_starts_at_(random_time()), slowdown_starts_at_(random_time()),
 		  registry_loss_starts_at_(random_time()),
 		  version_slowdown_(random_between(min_slowdown, max_slowdown))
@@ -71,9 +71,9 @@
 
 	shift_result run()
 	{
-		for (; now_ < origin_ + setup_.length; now_ += time_step)
+		for (; now_ < order_time_ + setup_.length; now_ += time_step)
 		{
-			if (now_ == origin_)
+			if (now_ == order_time_)
 			{
 				issue_order();
 			}
@@ -95,7 +95,7 @@
 
 	[[nodiscard]] bool is_within(duration start) const
 	{
-		return now_ - origin_ >= start && now_ - origin_ < start + disturbance_length;
+		return now_ - order_time_ >= start && now_ - order_time_ < start + disturbance_length;
 	}
 
 	[[nodiscard]] bool is_bursting() const
@@ -156,7 +156,7 @@
 		if (event.suspended && !event.follows_peer_verdict && !result_.suspended)
 		{
 			result_.suspended = event.summary;
-			result_.suspended_after = now_ - origin_;
+			result_.suspended_after = now_ - order_time_;
 		}
 	}
 
@@ -170,11 +170,17 @@
 		}
 	}
 
-	/// Whether replicas of the old version are disturbed for the rest of the shift; this begins with the
-	/// order.
-	[[nodiscard]] bool is_old_disturbed() const { return setup_.disturbance.is_old_only && now_ >= origin_; }
+	/// Whether the old version's replicas are disturbed now. Such a disturbance begins with the order and
+	/// lasts for the rest of the shift.
+	[[nodiscard]] bool is_old_disturbed() const
+	{
+		return setup_.disturbance.is_old_only && now_ >= order_time_;
+	}
 
-	[[nodiscard]] bool is_overloaded() const { return setup_.disturbance.overload > 0 && now_ >= origin_; }
+	[[nodiscard]] bool is_overloaded() const
+	{
+		return setup_.disturbance.overload > 0 && now_ >= order_time_;
+	}
 
 	[[nodiscard]] static std::string name_of_vm(std::size_t index) { return "vm" + std::to_string(index); }
 
@@ -185,7 +191,7 @@
 	{
 		deliver_registry_updates();
 		send_requests();
-		if ((now_ - origin_) % report_interval < time_step)
+		if ((now_ - order_time_) % report_interval < time_step)
 		{
 			exchange_reports();
 		}
@@ -373,7 +379,7 @@
 	double failure_ratio(const engine& target, bool is_new, bool is_first_route) const
 	{
 		constexpr double bad_version_ratio = 0.5;
-		const bool is_failing = target.is_failing && (now_ >= origin_ || !setup_.disturbance.is_old_only);
+		const bool is_failing = target.is_failing && (now_ >= order_time_ || !setup_.disturbance.is_old_only);
 		const auto replica_ratio = is_failing ? setup_.disturbance.failing_rate : 0;
 		if (!is_new)
 		{
@@ -396,7 +402,8 @@
 		case version_fault::fails_late:
 		{
 			constexpr double late_fraction = 0.7;
-			return now_ - origin_ > scaled(setup_.length, late_fraction) ? bad_version_ratio : replica_ratio;
+			return now_ - order_time_ > scaled(setup_.length, late_fraction) ? bad_version_ratio
+																			 : replica_ratio;
 		}
 		case version_fault::none:
 		case version_fault::slow:
@@ -460,7 +467,7 @@
 	shift_setup setup_;
 	random_source random_;
 	instant now_{seconds{1000}};
-	instant origin_;
+	instant order_time_;
 	duration burst_starts_at_;
 	duration slowdown_starts_at_;
 	duration registry_loss_starts_at_;
--- a/emulator/shift_emulator.hpp
+++ b/emulator/shift_emulator.hpp
@@ -50,7 +50,7 @@
 	/// Mean number of requests queued before each one at the old version's replicas: overload.
 	double overload{};
 
-	/// VMs lose the registry for some seconds.
+	/// VMs lose contact with the registry for some seconds.
 	bool loses_registry{};
 };
 
@@ -84,8 +84,9 @@
 	/// Fraction of all requests during the shift that went to the new version.
 	double exposure{};
 
-	/// Bad responses of the new version, and requests sent to it after the time limit for a verdict, which
-	/// starts once it has given enough bad responses (see `shift_emulator.cpp`).
+	/// Bad responses of the new version, and requests sent to the new version after the time limit for a
+	/// verdict, which starts with the bad response numbered `bad_responses_before_verdict` (see
+	/// `shift_emulator.cpp`).
 	std::uint64_t bad_responses{};
 	std::uint64_t late_requests{};
 };
--- a/include/gingerdyke/rollout/latency_comparison.hpp
+++ b/include/gingerdyke/rollout/latency_comparison.hpp
@@ -44,9 +44,9 @@
 	/// The relative latency up to which a response is fast.
 	double fast_limit_latency{};
 
-	/// The relative latency of the old version's fastest responses at any time, taken as that of an idle
-	/// engine.
-	double fastest{};
+	/// The relative latency of the old version's fastest responses, before the order, before the trial or
+	/// during the trial, whichever is lowest; taken as the latency of an idle engine.
+	double fastest_latency{};
 };
 
 /// \brief The latencies to compare, by model; models with too few responses of the old version are left out.
@@ -56,8 +56,8 @@
 /// \brief Log-likelihood ratio of "the new version is about as fast as the old one" over "it is three or more
 /// times slower". For a version that slow, the probability that the result ever exceeds log(1/a) is at most
 /// a, however often it is evaluated.
-/// \param all Whether to use all responses of the new version or only those of its healthy replicas.
-[[nodiscard]] double log_evidence_as_fast(const std::vector<latency_comparison>& latencies, bool all);
+/// \param use_all Whether to use all responses of the new version or only those of its healthy replicas.
+[[nodiscard]] double log_evidence_as_fast(const std::vector<latency_comparison>& latencies, bool use_all);
 
 /// \brief Probability that a slow version has at least the observed number of responses that are as fast as
 /// those of an idle engine. Used for event intervals of streams, which do not depend on caches. Compared with
--- a/include/gingerdyke/rollout/suspensions.hpp
+++ b/include/gingerdyke/rollout/suspensions.hpp
@@ -10,7 +10,7 @@
 
 namespace gingerdyke::rollout
 {
-/// \brief The suspensions known to this VM. Only an operator's edit of the version's row lifts one.
+/// \brief The suspensions known to this VM. Only an operator's edit of the version's row lifts a suspension.
 class suspensions
 {
   public:
--- a/include/gingerdyke/rollout/version_shift.hpp
+++ b/include/gingerdyke/rollout/version_shift.hpp
@@ -37,7 +37,7 @@
 [[nodiscard]] const char* name_of(shift_state state) noexcept;
 
 /// \brief Parses the name of a state.
-[[nodiscard]] std::optional<shift_state> parse_shift_state(const std::string& word);
+[[nodiscard]] std::optional<shift_state> parse_shift_state(const std::string& name);
 
 /// \brief An operator's order to move a service's traffic.
 struct shift_order
@@ -165,9 +165,9 @@
 	duration final_report_interval = std::chrono::milliseconds{1000};
 
 	/// Grace period of a VM that missed a part of the trial: before it rolls back a version that is not shown
-	/// to be good, it waits for `late_follower_hold` times the shift's length, but not beyond
+	/// to be good, it waits for `late_follower_grace_period` times the shift's length, but not beyond
 	/// `max_trial_length` times that length after the shift's start.
-	double late_follower_hold = 0.5;
+	double late_follower_grace_period = 0.5;
 	double max_trial_length = 2;
 
 	/// Without contact with the registry for this time, the share stops growing.
@@ -211,17 +211,18 @@
 	/// The new plan, to be written only if its row still has the version in `row`.
 	std::optional<shift_plan> plan;
 
-	/// Evidence of this VM and of the VMs that read the registry through it.
+	/// Evidence of this VM and of the VMs that read the registry through this VM.
 	std::vector<reported_evidence> evidence;
 };
 
-/// \brief Sums of what a VM knows of a shift: the basis of its verdict.
+/// \brief Sums of the observations of a shift that a VM knows: the basis of its verdict.
 struct shift_summary
 {
 	response_counts old_version;
 	response_counts new_version;
 
-	/// The strongest evidence against the new version, and the result of the test that it is as good.
+	/// The strongest evidence against the new version, and the result of the test that the new version is as
+	/// good as the old one.
 	version_verdict verdict;
 	version_proof proof;
 
@@ -290,7 +291,7 @@
 	/// \returns The version, or empty if any will do.
 	[[nodiscard]] std::string version_for(const service_id& service, std::uint64_t point, instant now) const;
 
-	/// \brief Version to use if no replica of `version_for` can be used, or empty.
+	/// \brief Version to use if no replica of the version returned by `version_for` can be used, or empty.
 	[[nodiscard]] std::string fallback_for(const service_id& service, std::uint64_t point, instant now) const;
 
 	/// \brief Whether a replica may get requests now; replicas of the new version are put into use gradually.
@@ -299,7 +300,8 @@
 	/// \brief Returns the writes that are due now. A plan is returned again only after a retry delay.
 	[[nodiscard]] std::vector<shift_write> due(instant now);
 
-	/// \brief When `due` must be called next; none: not before the next input.
+	/// \brief When `due` must be called next; none: there is nothing to do before the next input, such as a
+	/// response, an order or a plan.
 	[[nodiscard]] std::optional<instant> next_due() const;
 
 	/// \brief Current share of sessions on the new version; for status and tests.
@@ -375,10 +377,10 @@
 	[[nodiscard]] static bool is_running(const service_state& state);
 
 	/// Number of replicas of the plan's new version, and of all others.
-	[[nodiscard]] static std::size_t new_replicas(const service_state& state);
-	[[nodiscard]] static std::size_t old_replicas(const service_state& state);
+	[[nodiscard]] static std::size_t count_new_replicas(const service_state& state);
+	[[nodiscard]] static std::size_t count_old_replicas(const service_state& state);
 
-	[[nodiscard]] bool is_control(const service_state& state, std::uint64_t replica) const;
+	[[nodiscard]] bool is_in_control_group(const service_state& state, std::uint64_t replica) const;
 	static void record_baseline(service_state& state, const response_sample& sample);
 	static void record_pre_trial(version_evidence& to, const response_sample& sample);
 	void record_sample(service_state& state, bool is_new, const response_sample& sample, instant now) const;
--- a/include/gingerdyke/rollout/version_verdict.hpp
+++ b/include/gingerdyke/rollout/version_verdict.hpp
@@ -40,9 +40,9 @@
 	double tolerated_peak_load = 0.04;
 
 	/// Minimum tolerated failure ratio over all replicas and routes together; it is more than a few faulty
-	/// replicas explain. This check is needed with few responses: a group of one route then has one or two,
-	/// and selecting healthy replicas by them is meaningless. Without it a version that failed half of its
-	/// requests was completed on 25 responses.
+	/// replicas explain. This check is needed with few responses: a replica group then has one or two
+	/// responses per route, and selecting healthy replicas by them is meaningless. Without it a version that
+	/// failed half of its requests was completed on 25 responses.
 	double tolerated_overall = 0.12;
 
 	/// Tuning of the latency comparison.
@@ -71,9 +71,9 @@
 
 	/// A route or the peak-load phase is doubtful if its healthy replicas show at least
 	/// `min_doubtful_failures` failures and a failure ratio of at least `doubtful_ratio` times the highest
-	/// one of a good version; the version is then not shown to be good. Without this check a version that
-	/// failed on one route only passed in 7 of 40 simulated shifts with an old version whose replicas failed
-	/// too.
+	/// failure ratio of a good version; the version is then not shown to be good. Without this check a
+	/// version that failed on one route only passed in 7 of 40 simulated shifts with an old version whose
+	/// replicas failed too.
 	std::uint64_t min_doubtful_failures = 5;
 	double doubtful_ratio = 0.7;
 };
@@ -82,11 +82,11 @@
 enum class verdict_reason
 {
 	none,
-	/// Its failure ratio is higher than tolerated.
+	/// The failure ratio of the new version is higher than tolerated.
 	failures,
-	/// Its ratio of slow responses is higher than tolerated.
+	/// The ratio of slow responses of the new version is higher than tolerated.
 	latency,
-	/// It was not shown to be as good as the old version by its deadline.
+	/// The new version was not shown to be as good as the old one by its deadline.
 	unproven,
 };
 
@@ -98,8 +98,8 @@
 {
 	verdict_reason reason{verdict_reason::none};
 
-	/// The route or the model that the evidence is about; empty: all of them, in the peak-load phase or over
-	/// the whole trial.
+	/// The route or the model that the evidence is about; empty: all routes or models, in the peak-load phase
+	/// or over the whole trial.
 	std::string scope;
 
 	/// Number of responses considered, the bad ones among them, and the tolerated ratio of bad ones.
@@ -130,18 +130,18 @@
 	/// Whether a route or the peak-load phase is doubtful.
 	bool has_doubtful_subset{};
 
-	/// Logarithm of the evidence that it is as fast as the old version: the lower of the values for time to
-	/// first byte and for event intervals of streams.
+	/// Logarithm of the evidence that the new version is as fast as the old one: the lower of the values for
+	/// time to first byte and for event intervals of streams.
 	double fast_evidence{};
 
 	/// Probability that a slow version's event intervals are as often as short as an idle engine's; 0 if
 	/// there are no streams.
 	double slow_risk{};
 
-	/// Number of its bad responses: failures or slow ones, whichever are more.
+	/// Number of bad responses of the new version: failures or slow responses, whichever are more.
 	std::uint64_t bad_responses{};
 
-	/// Whether it is shown to be as good as the old version.
+	/// Whether the new version is shown to be as good as the old one.
 	bool is_noninferior{};
 };
 
--- a/src/rollout/latency_comparison.cpp
+++ b/src/rollout/latency_comparison.cpp
@@ -12,8 +12,8 @@
 {
 namespace
 {
-/// Offsets applied to the old version's histogram, in buckets of half an octave. As fast: up to 1.4 times
-/// slower, as with cold caches. Slower: three to eight times slower.
+/// Offsets by which the old version's histogram is moved to model the new version, in buckets of half an
+/// octave. As fast: up to 1.4 times slower, as with cold caches. Slower: three to eight times slower.
 constexpr std::array as_fast_offsets{-2, -1, 0, 1};
 constexpr std::array slower_offsets{3, 4, 5, 6};
 
@@ -23,8 +23,8 @@
 
 using bucket_fractions = std::array<double, latency_histogram::bucket_count>;
 
-/// The lowest of the old version's latencies at a quantile, over the given periods: the others may be raised
-/// by a temporary disturbance. None if no period has enough responses.
+/// The lowest of the old version's latencies at a quantile, over the given periods: the latencies of other
+/// periods may be raised by a temporary disturbance. None if no period has enough responses.
 std::optional<double> lowest_quantile(
 	std::initializer_list<const latency_histogram*> periods, double fraction, const latency_tuning& tuning)
 {
@@ -115,7 +115,8 @@
 
 /// Logarithm of the mean likelihood over several offsets; each offset is applied to all models at once.
 template <typename Offsets>
-double log_mean_likelihood(const std::vector<latency_comparison>& latencies, bool all, const Offsets& offsets)
+double log_mean_likelihood(
+	const std::vector<latency_comparison>& latencies, bool use_all, const Offsets& offsets)
 {
 	std::vector<double> logs;
 	for (const auto offset : offsets)
@@ -123,7 +124,7 @@
 		double sum = 0;
 		for (const auto& comparison : latencies)
 		{
-			sum += log_likelihood(all ? comparison.all_new : comparison.new_version,
+			sum += log_likelihood(use_all ? comparison.all_new : comparison.new_version,
 				smoothed_fractions(comparison.old_version), offset);
 		}
 		logs.push_back(sum);
@@ -162,19 +163,19 @@
 		const auto& evidence = seen.at(model);
 		const auto during_trial = evidence.old_version.sum(healthy_old);
 		const bool has_enough = during_trial.size() >= tuning.min_old_responses;
-		const auto fastest = lowest_quantile(
+		const auto fastest_latency = lowest_quantile(
 			{&evidence.baseline, &evidence.pre_trial, &during_trial}, tuning.fastest_quantile, tuning);
 		compared.push_back(
 			{model, has_enough ? during_trial : evidence.pre_trial, evidence.new_version.sum(healthy_new),
-				evidence.new_version.sum(), limit, fastest.value_or(limit)});
+				evidence.new_version.sum(), limit, fastest_latency.value_or(limit)});
 	}
 	return compared;
 }
 
-double log_evidence_as_fast(const std::vector<latency_comparison>& latencies, bool all)
+double log_evidence_as_fast(const std::vector<latency_comparison>& latencies, bool use_all)
 {
-	return log_mean_likelihood(latencies, all, as_fast_offsets) -
-		   log_mean_likelihood(latencies, all, slower_offsets);
+	return log_mean_likelihood(latencies, use_all, as_fast_offsets) -
+		   log_mean_likelihood(latencies, use_all, slower_offsets);
 }
 
 double probability_if_slow(
@@ -186,14 +187,15 @@
 	{
 		const auto size = static_cast<double>(comparison.all_new.size());
 		responses += size;
-		fast_count += size * comparison.all_new.fraction_within(comparison.fastest * tuning.fastest_factor);
+		fast_count +=
+			size * comparison.all_new.fraction_within(comparison.fastest_latency * tuning.fastest_factor);
 	}
 	const auto count = std::floor(fast_count);
 	if (count < 1)
 	{
 		return 1;
 	}
-	const boost::math::binomial_distribution<double> of_slow{responses, tuning.max_fast_ratio_of_slow};
-	return boost::math::cdf(boost::math::complement(of_slow, count - 1));
+	const boost::math::binomial_distribution<double> slow_version{responses, tuning.max_fast_ratio_of_slow};
+	return boost::math::cdf(boost::math::complement(slow_version, count - 1));
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/version_evidence.cpp
+++ b/src/rollout/version_evidence.cpp
@@ -23,10 +23,10 @@
 	}
 }
 
-std::uint64_t size_of(const latencies_by_model& times)
+std::uint64_t size_of(const latencies_by_model& latencies)
 {
 	std::uint64_t sum = 0;
-	for (const auto& [model, seen] : times)
+	for (const auto& [model, seen] : latencies)
 	{
 		sum += seen.baseline.size() + seen.pre_trial.size() + seen.old_version.sum().size() +
 			   seen.new_version.sum().size();
--- a/src/rollout/version_shift.cpp
+++ b/src/rollout/version_shift.cpp
@@ -11,9 +11,9 @@
 {
 namespace
 {
-constexpr const char* word_running = "running";
-constexpr const char* word_completed = "completed";
-constexpr const char* word_rolled_back = "rolled_back";
+constexpr const char* name_running = "running";
+constexpr const char* name_completed = "completed";
+constexpr const char* name_rolled_back = "rolled_back";
 
 /// A write is repeated after this time if the plan has not changed.
 constexpr duration write_retry_delay = std::chrono::milliseconds{700};
@@ -46,20 +46,20 @@
 	switch (state)
 	{
 	case shift_state::running:
-		return word_running;
+		return name_running;
 	case shift_state::completed:
-		return word_completed;
+		return name_completed;
 	case shift_state::rolled_back:
-		return word_rolled_back;
+		return name_rolled_back;
 	}
 	return "unknown";
 }
 
-std::optional<shift_state> parse_shift_state(const std::string& word)
+std::optional<shift_state> parse_shift_state(const std::string& name)
 {
 	for (const auto state : {shift_state::running, shift_state::completed, shift_state::rolled_back})
 	{
-		if (word == name_of(state))
+		if (name == name_of(state))
 		{
 			return state;
 		}
@@ -143,20 +143,20 @@
 	}
 }
 
-std::size_t version_shift::new_replicas(const service_state& state)
+std::size_t version_shift::count_new_replicas(const service_state& state)
 {
 	const auto found = state.replicas.find(state.plan->to_version);
 	return found == state.replicas.end() ? 0 : found->second;
 }
 
-std::size_t version_shift::old_replicas(const service_state& state)
+std::size_t version_shift::count_old_replicas(const service_state& state)
 {
 	std::size_t all = 0;
 	for (const auto& [version, count] : state.replicas)
 	{
 		all += count;
 	}
-	return all - new_replicas(state);
+	return all - count_new_replicas(state);
 }
 
 bool version_shift::is_shifting() const
@@ -353,7 +353,7 @@
 	{
 		return true;
 	}
-	const auto count = static_cast<double>(std::max<std::size_t>(1, new_replicas(*state)));
+	const auto count = static_cast<double>(std::max<std::size_t>(1, count_new_replicas(*state)));
 	const auto min_fraction = static_cast<double>(tuning_.min_replicas) / count;
 	const auto share = share_of(*state, now);
 	const auto used_fraction =
@@ -363,9 +363,9 @@
 
 bool version_shift::carries_peak_load(const service_state& state, instant now) const
 {
-	const auto left =
-		static_cast<double>(new_replicas(state)) * share_of(state, now) / tuning_.peak_load_factor;
+	const auto used_replicas =
+		static_cast<double>(count_new_replicas(state)) * share_of(state, now) / tuning_.peak_load_factor;
 	return schedule_of(*state.plan).is_peak_load_phase(elapsed_fraction(*state.plan, now)) &&
-		   left >= static_cast<double>(tuning_.min_peak_load_replicas);
+		   used_replicas >= static_cast<double>(tuning_.min_peak_load_replicas);
 }
 } // namespace gingerdyke::rollout
--- a/src/rollout/version_shift_evidence.cpp
+++ b/src/rollout/version_shift_evidence.cpp
@@ -58,8 +58,8 @@
 	}
 }
 
-/// \returns Whether the evidence is newer than what is known of that VM; reports arrive by several paths and
-/// may be out of order.
+/// \returns Whether the evidence is newer than the evidence of `reporter` that is known here; reports arrive
+/// by several paths and may be out of order.
 bool version_shift::merge_evidence(
 	service_state& state, const std::string& reporter, const shift_evidence& evidence)
 {
@@ -178,9 +178,9 @@
 	latencies_of(to, sample).pre_trial.record(sample.relative_latency);
 }
 
-bool version_shift::is_control(const service_state& state, std::uint64_t replica) const
+bool version_shift::is_in_control_group(const service_state& state, std::uint64_t replica) const
 {
-	const auto count = static_cast<double>(std::max<std::size_t>(1, old_replicas(state)));
+	const auto count = static_cast<double>(std::max<std::size_t>(1, count_old_replicas(state)));
 	return to_unit_interval(replica) < static_cast<double>(tuning_.control_replica_count) / count;
 }
 
@@ -200,7 +200,7 @@
 		}
 		return;
 	}
-	if (!is_new && !is_control(state, sample.replica))
+	if (!is_new && !is_in_control_group(state, sample.replica))
 	{
 		return;
 	}
@@ -233,8 +233,9 @@
 	return state != nullptr && evidence_due_at(*state).has_value();
 }
 
-/// Evidence is written as the number of its bad responses grows, and at the end of a trial if the responses
-/// known to this VM don't show that the version is good: together with those known to other VMs they may.
+/// Evidence is written as the number of its bad responses grows. It is also written at the end of a trial if
+/// the responses known to this VM don't show that the version is good: together with the responses known to
+/// other VMs they may show it.
 std::optional<instant> version_shift::evidence_due_at(const service_state& state) const
 {
 	if (!reads_registry_ || !is_running(state) || state.unwritten.empty())
--- a/src/rollout/version_shift_plans.cpp
+++ b/src/rollout/version_shift_plans.cpp
@@ -45,8 +45,9 @@
 	{
 		return regular_end;
 	}
-	const auto hold_end = state.followed_since + scaled(plan.length, tuning_.late_follower_hold);
-	return std::clamp(hold_end, regular_end, time_at(plan, tuning_.max_trial_length));
+	const auto grace_period_end =
+		state.followed_since + scaled(plan.length, tuning_.late_follower_grace_period);
+	return std::clamp(grace_period_end, regular_end, time_at(plan, tuning_.max_trial_length));
 }
 
 /// When the new version is suspended unless it is shown to be good before; none: there is no deadline.
@@ -129,8 +130,8 @@
 		plan.promoted = registry_now(now);
 		return plan;
 	}
-	const bool is_complete_due = plan.promoted && now >= completion_time(plan);
-	if (is_complete_due && may_declare_completed(state, now))
+	const bool is_completion_due = plan.promoted && now >= completion_time(plan);
+	if (is_completion_due && may_declare_completed(state, now))
 	{
 		plan.state = shift_state::completed;
 		return plan;
--- a/src/rollout/version_verdict.cpp
+++ b/src/rollout/version_verdict.cpp
@@ -170,7 +170,8 @@
 }
 
 /// Result of the failure test on a subset of the responses, evaluated on all replicas and on the healthy
-/// ones; the stronger result counts. With few responses, half of them are not enough.
+/// ones; the stronger result counts. With few responses, the half that comes from healthy replicas is not
+/// enough.
 struct failure_proof
 {
 	response_counts judged;
@@ -203,8 +204,9 @@
 	return proof;
 }
 
-/// Whether a route or the peak-load phase looks as bad as it would for a bad version. It may have too few
-/// responses to show that it is good; that is left to the test on all responses.
+/// Whether the failures on a route or in the peak-load phase are as frequent as those of a bad version. A
+/// route may have too few responses to show that the version is good; that is left to the test on all
+/// responses.
 bool is_doubtful(
 	const route_evidence& seen, const healthy_version_cells& healthy, const verdict_tuning& tuning)
 {
@@ -228,8 +230,9 @@
 	return std::max(log_evidence_as_fast(latencies, true), log_evidence_as_fast(latencies, false));
 }
 
-/// Number of responses that a version as fast as the old one would rarely give. Event intervals are compared
-/// with those of idle engines, since those of an overloaded old version hide that the new version is slow.
+/// Number of responses so slow that a version as fast as the old one would rarely give them. Event intervals
+/// are compared with those of idle engines, since those of an overloaded old version hide that the new
+/// version is slow.
 std::uint64_t count_slow(
 	const std::vector<latency_comparison>& latencies, bool are_event_intervals, const latency_tuning& tuning)
 {
@@ -237,7 +240,7 @@
 	for (const auto& comparison : latencies)
 	{
 		const auto limit = are_event_intervals ? std::min(comparison.fast_limit_latency,
-													 comparison.fastest * tuning.fastest_factor)
+													 comparison.fastest_latency * tuning.fastest_factor)
 											   : comparison.fast_limit_latency;
 		slow +=
 			static_cast<double>(comparison.all_new.size()) * (1 - comparison.all_new.fraction_within(limit));
@@ -248,10 +251,10 @@
 /// The compared observations that both decisions use.
 struct compared_evidence
 {
-	compared_evidence(const version_evidence& of, const verdict_tuning& tuning)
-		: seen(of), all_routes(of.all_routes()), healthy(all_routes),
-		  latencies(compare_latencies(of.first_byte_by_model, tuning.latencies)),
-		  event_intervals(compare_latencies(of.event_intervals_by_model, tuning.latencies))
+	compared_evidence(const version_evidence& evidence, const verdict_tuning& tuning)
+		: seen(evidence), all_routes(evidence.all_routes()), healthy(all_routes),
+		  latencies(compare_latencies(evidence.first_byte_by_model, tuning.latencies)),
+		  event_intervals(compare_latencies(evidence.event_intervals_by_model, tuning.latencies))
 	{
 	}
 
@@ -280,9 +283,9 @@
 	}
 	consider(judge_peak_load(seen, all_routes, healthy, tuning));
 	consider(judge_overall(all_routes, tuning));
-	for (const auto* of_kind : {&latencies, &event_intervals})
+	for (const auto* compared_latencies : {&latencies, &event_intervals})
 	{
-		for (const auto& verdict : judge_latencies(*of_kind, tuning))
+		for (const auto& verdict : judge_latencies(*compared_latencies, tuning))
 		{
 			consider(verdict);
 		}
--- a/tests/emulator/shift.cpp
+++ b/tests/emulator/shift.cpp
@@ -104,7 +104,8 @@
 			CHECK(result.late_requests == 0);
 			CHECK(result.exposure < exposure_limit);
 		});
-	// One of the 200 simulated shifts, in which the old version's replicas fail almost as often by chance.
+	// At most one of the 200 simulated shifts: in this one, the old version's replicas fail almost as often
+	// by chance.
 	CHECK(completed <= 1);
 }
 
--- a/tests/emulator/shift_with_faulty_replicas.cpp
+++ b/tests/emulator/shift_with_faulty_replicas.cpp
@@ -13,7 +13,7 @@
 
 namespace
 {
-shift_setup middle_deployment()
+shift_setup medium_deployment()
 {
 	shift_setup setup;
 	setup.vms = 91;
@@ -26,7 +26,7 @@
 /// \param disturbance Disturbance of the old version's replicas.
 void check_never_completed(version_fault fault, const shift_disturbance& disturbance)
 {
-	auto setup = middle_deployment();
+	auto setup = medium_deployment();
 	setup.fault = fault;
 	setup.disturbance = disturbance;
 	constexpr unsigned seeds = 5;
@@ -81,7 +81,7 @@
 	const shift_disturbance failing{.failing_share = 0.5, .failing_rate = 0.5, .is_old_only = true};
 	for (const auto fault : {version_fault::fails_on_one_route, version_fault::fails_late})
 	{
-		auto setup = middle_deployment();
+		auto setup = medium_deployment();
 		setup.disturbance = failing;
 		setup.fault = fault;
 		for (setup.seed = 1; setup.seed <= 4; ++setup.seed)
@@ -127,7 +127,7 @@
 	const shift_disturbance slowed{.slowed_share = 0.5, .slowed_by = 6, .is_old_only = true, .overload = 8};
 	for (const auto& disturbance : {failing, slowed})
 	{
-		for (auto setup : {shift_setup{}, middle_deployment()})
+		for (auto setup : {shift_setup{}, medium_deployment()})
 		{
 			setup.disturbance = disturbance;
 			for (setup.seed = 1; setup.seed <= 4; ++setup.seed)
--- a/tests/rollout/latency_histogram.cpp
+++ b/tests/rollout/latency_histogram.cpp
@@ -7,29 +7,29 @@
 
 TEST_CASE("quantile and fraction_within are inverse to each other, also inside a bucket", "[answer-times]")
 {
-	latency_histogram times;
+	latency_histogram latencies;
 	for (int i = 1; i <= 1000; ++i)
 	{
-		times.record(0.2 + i * 0.004);
+		latencies.record(0.2 + i * 0.004);
 	}
-	CHECK(times.size() == 1000);
+	CHECK(latencies.size() == 1000);
 	for (const auto fraction : {0.1, 0.25, 0.5, 0.9})
 	{
-		const auto at = times.quantile(fraction);
+		const auto at = latencies.quantile(fraction);
 		CHECK(at == Approx(0.2 + fraction * 4).epsilon(0.1));
-		CHECK(times.fraction_within(at) == Approx(fraction).margin(0.001));
+		CHECK(latencies.fraction_within(at) == Approx(fraction).margin(0.001));
 	}
 }
 
 TEST_CASE("latencies out of range are counted in the outermost buckets", "[answer-times]")
 {
-	latency_histogram times;
-	times.record(0);
-	times.record(-1);
-	times.record(1e9);
-	CHECK(times.size() == 3);
-	CHECK(times.counts().front() == 2);
-	CHECK(times.counts().back() == 1);
+	latency_histogram latencies;
+	latencies.record(0);
+	latencies.record(-1);
+	latencies.record(1e9);
+	CHECK(latencies.size() == 3);
+	CHECK(latencies.counts().front() == 2);
+	CHECK(latencies.counts().back() == 1);
 	CHECK(latency_histogram{}.quantile(0.5) == 0);
 	CHECK(latency_histogram{}.fraction_within(1) == 0);
 }
--- a/tests/rollout/verdict_after_restart.cpp
+++ b/tests/rollout/verdict_after_restart.cpp
@@ -157,7 +157,7 @@
 };
 
 /// Applies an action to the last `count` VMs. The first VM, the reader, is affected only if all are.
-void for_each_of_last(std::size_t count, const std::function<void(std::size_t)>& action)
+void for_last_vms(std::size_t count, const std::function<void(std::size_t)>& action)
 {
 	for (std::size_t i = vm_count - count; i < vm_count; ++i)
 	{
@@ -165,7 +165,8 @@
 	}
 }
 
-/// One order of events. The registry is lost after 9 s, before the new version gets any traffic.
+/// One order of events: how many VMs lose the registry and how many are restarted, and when. The registry is
+/// lost after 9 s, before the new version gets any traffic.
 struct event_order
 {
 	std::size_t disconnected;
@@ -178,11 +179,10 @@
 {
 	const duration lost_at = seconds{9};
 	simulation.run(lost_at);
-	for_each_of_last(order.disconnected, [&](std::size_t i) { simulation.set_registry_lost(i, true); });
-	const auto restart = [&]
-	{ for_each_of_last(order.restarted, [&](std::size_t i) { simulation.start(i); }); };
+	for_last_vms(order.disconnected, [&](std::size_t i) { simulation.set_registry_lost(i, true); });
+	const auto restart = [&] { for_last_vms(order.restarted, [&](std::size_t i) { simulation.start(i); }); };
 	const auto recover = [&]
-	{ for_each_of_last(order.disconnected, [&](std::size_t i) { simulation.set_registry_lost(i, false); }); };
+	{ for_last_vms(order.disconnected, [&](std::size_t i) { simulation.set_registry_lost(i, false); }); };
 	const bool restarts_first = order.restart_at < order.recovered_at;
 	const auto first = std::min(order.restart_at, order.recovered_at);
 	const auto second = std::max(order.restart_at, order.recovered_at);
--- a/tests/rollout/version_promotion.cpp
+++ b/tests/rollout/version_promotion.cpp
@@ -10,78 +10,78 @@
 
 TEST_CASE("a version without any responses is rolled back in time, not completed", "[shift]")
 {
-	vm one{1};
-	begin(one);
-	one.see("v1", 200, 0);
-	one.pass(seconds{18});
-	CHECK(measured_share(one) == Approx(0.056).margin(0.002));
-	one.pass(milliseconds{1000});
-	const auto last = written(one, 12);
+	vm local_vm{1};
+	begin(local_vm);
+	local_vm.see("v1", 200, 0);
+	local_vm.pass(seconds{18});
+	CHECK(measured_share(local_vm) == Approx(0.056).margin(0.002));
+	local_vm.pass(milliseconds{1000});
+	const auto last = written(local_vm, 12);
 	CHECK(last.state == shift_state::rolled_back);
-	CHECK(one.now < instant{seconds{1020}});
+	CHECK(local_vm.now < instant{seconds{1020}});
 }
 
 TEST_CASE("a version with bad responses is rolled back unless it is soon shown to be good", "[shift]")
 {
-	vm one{1};
-	begin(one);
+	vm local_vm{1};
+	begin(local_vm);
 	// 40 % of the old version's responses fail, so the new version's failures are not conclusive at first.
-	one.see("v1", 100, 40);
-	one.pass(milliseconds{10500});
-	one.see("v1", 100, 40);
-	one.see("v2", 30, 12);
-	CHECK(measured_share(one) > 0);
-	one.pass(milliseconds{2800});
-	CHECK(one.shift.due(one.now).empty());
-	one.pass(milliseconds{500});
-	CHECK(written(one, 12).state == shift_state::rolled_back);
-	CHECK(measured_share(one) == 0);
+	local_vm.see("v1", 100, 40);
+	local_vm.pass(milliseconds{10500});
+	local_vm.see("v1", 100, 40);
+	local_vm.see("v2", 30, 12);
+	CHECK(measured_share(local_vm) > 0);
+	local_vm.pass(milliseconds{2800});
+	CHECK(local_vm.shift.due(local_vm.now).empty());
+	local_vm.pass(milliseconds{500});
+	CHECK(written(local_vm, 12).state == shift_state::rolled_back);
+	CHECK(measured_share(local_vm) == 0);
 }
 
 TEST_CASE("a VM that does not read the registry neither promotes nor rolls back", "[shift]")
 {
-	vm one{1};
-	begin(one);
-	one.shift.set_reads_registry(false);
-	one.pass(milliseconds{10500});
-	one.see("v1", 100, 0);
-	one.see("v2", 40, 0);
-	one.pass(seconds{12});
-	CHECK(one.shift.due(one.now).empty());
-	CHECK(measured_share(one) == Approx(0.056).margin(0.002));
+	vm local_vm{1};
+	begin(local_vm);
+	local_vm.shift.set_reads_registry(false);
+	local_vm.pass(milliseconds{10500});
+	local_vm.see("v1", 100, 0);
+	local_vm.see("v2", 40, 0);
+	local_vm.pass(seconds{12});
+	CHECK(local_vm.shift.due(local_vm.now).empty());
+	CHECK(measured_share(local_vm) == Approx(0.056).margin(0.002));
 	// Once it reads the registry, it performs the promotion that was left to others.
-	one.shift.set_reads_registry(true);
-	one.see("v2", 1, 0);
-	CHECK(written(one, 12).promoted);
+	local_vm.shift.set_reads_registry(true);
+	local_vm.see("v2", 1, 0);
+	CHECK(written(local_vm, 12).promoted);
 }
 
 TEST_CASE("at the end of a trial a VM without a conclusive result writes its evidence, within the registry's "
 		  "limits",
 	"[shift]")
 {
-	vm one{1};
-	const auto plan = begin(one);
-	one.pass(milliseconds{10500});
+	vm local_vm{1};
+	const auto plan = begin(local_vm);
+	local_vm.pass(milliseconds{10500});
 	constexpr std::size_t reporters = 130;
 	for (std::size_t i = 0; i < reporters; ++i)
 	{
-		one.shift.on_relayed_evidence("vm" + std::to_string(i), failures(plan, 1, 0, i), one.now);
+		local_vm.shift.on_relayed_evidence("vm" + std::to_string(i), failures(plan, 1, 0, i), local_vm.now);
 	}
-	const auto written_now = [&one]
+	const auto written_now = [&local_vm]
 	{
 		std::size_t rows = 0;
-		for (const auto& write : one.shift.due(one.now))
+		for (const auto& write : local_vm.shift.due(local_vm.now))
 		{
 			rows += write.evidence.size();
 		}
 		return rows;
 	};
 	CHECK(written_now() == 0);
-	one.pass(milliseconds{5600});
+	local_vm.pass(milliseconds{5600});
 	const auto first = written_now();
 	CHECK(first > 0);
 	CHECK(first < 100);
 	CHECK(written_now() == 0);
-	one.pass(milliseconds{1100});
+	local_vm.pass(milliseconds{1100});
 	CHECK(written_now() == reporters - first);
 }
--- a/tests/rollout/version_shift.cpp
+++ b/tests/rollout/version_shift.cpp
@@ -12,67 +12,67 @@
 
 TEST_CASE("without an order all traffic goes to the existing version", "[shift]")
 {
-	vm one{1};
-	CHECK(one.shift.version_for(service, 5, one.now) == "v1");
+	vm local_vm{1};
+	CHECK(local_vm.shift.version_for(service, 5, local_vm.now) == "v1");
 	const auto new_replica = std::make_shared<routing::replica>();
 	new_replica->service = service;
 	new_replica->version = "v2";
 	const auto old = std::make_shared<routing::replica>();
 	old->service = service;
 	old->version = "v1";
-	one.shift.set_replicas(service, {new_replica, new_replica, old});
-	CHECK(one.shift.version_for(service, 5, one.now) == "v1");
+	local_vm.shift.set_replicas(service, {new_replica, new_replica, old});
+	CHECK(local_vm.shift.version_for(service, 5, local_vm.now) == "v1");
 }
 
 TEST_CASE(
 	"a good shift: no traffic in the first half, then a small share, then all, then completed", "[shift]")
 {
-	vm one{1};
-	const auto plan = begin(one);
+	vm local_vm{1};
+	const auto plan = begin(local_vm);
 	CHECK(plan.from_version == "v1");
 	CHECK(plan.state == shift_state::running);
-	CHECK(measured_share(one) == 0);
-	one.pass(seconds{9});
-	CHECK(measured_share(one) == 0);
-	one.pass(milliseconds{1500});
-	CHECK(measured_share(one) == Approx(0.056).margin(0.002));
-	one.pass(milliseconds{6500});
-	CHECK(measured_share(one) == Approx(0.056).margin(0.002));
-	promote(one);
-	one.pass(milliseconds{600});
-	CHECK(measured_share(one) > 0.5);
-	one.pass(milliseconds{500});
-	CHECK(measured_share(one) == 1);
-	one.pass(milliseconds{1200});
-	const auto last = written(one, 13);
+	CHECK(measured_share(local_vm) == 0);
+	local_vm.pass(seconds{9});
+	CHECK(measured_share(local_vm) == 0);
+	local_vm.pass(milliseconds{1500});
+	CHECK(measured_share(local_vm) == Approx(0.056).margin(0.002));
+	local_vm.pass(milliseconds{6500});
+	CHECK(measured_share(local_vm) == Approx(0.056).margin(0.002));
+	promote(local_vm);
+	local_vm.pass(milliseconds{600});
+	CHECK(measured_share(local_vm) > 0.5);
+	local_vm.pass(milliseconds{500});
+	CHECK(measured_share(local_vm) == 1);
+	local_vm.pass(milliseconds{1200});
+	const auto last = written(local_vm, 13);
 	CHECK(last.state == shift_state::completed);
 	CHECK(last.row == row_version{13});
-	one.shift.on_plan(last, one.now);
-	CHECK(one.shift.version_for(service, 1, one.now) == "v2");
-	CHECK_FALSE(one.shift.next_due());
+	local_vm.shift.on_plan(last, local_vm.now);
+	CHECK(local_vm.shift.version_for(service, 1, local_vm.now) == "v2");
+	CHECK_FALSE(local_vm.shift.next_due());
 }
 
 TEST_CASE("a session that is on the new version stays there while the share grows", "[shift]")
 {
-	vm one{1};
-	begin(one);
+	vm local_vm{1};
+	begin(local_vm);
 	std::vector<std::uint64_t> on_new;
 	constexpr int trial_is_over = 42;
 	for (int step = 0; step < 46; ++step)
 	{
-		one.pass(milliseconds{400});
+		local_vm.pass(milliseconds{400});
 		if (step == trial_is_over)
 		{
-			promote(one);
+			promote(local_vm);
 		}
 		for (const auto point : on_new)
 		{
-			REQUIRE(one.shift.version_for(service, point, one.now) == "v2");
+			REQUIRE(local_vm.shift.version_for(service, point, local_vm.now) == "v2");
 		}
 		for (std::uint64_t i = 0; i < 64; ++i)
 		{
 			const auto point = i << 58U;
-			if (one.shift.version_for(service, point, one.now) == "v2")
+			if (local_vm.shift.version_for(service, point, local_vm.now) == "v2")
 			{
 				on_new.push_back(point);
 			}
@@ -83,88 +83,88 @@
 
 TEST_CASE("two VMs compute the same version for the same session", "[shift]")
 {
-	vm one{1};
-	const auto plan = begin(one);
-	vm two{2};
-	two.now = one.now;
-	two.hear();
-	two.shift.on_plan(plan, two.now);
-	one.pass(milliseconds{17100});
-	two.pass(milliseconds{17100});
-	const auto promoted = promote(one);
-	two.pass(one.now - two.now);
-	two.shift.on_plan(promoted, two.now);
-	one.pass(milliseconds{300});
-	two.pass(milliseconds{300});
-	CHECK(measured_share(one) > 0.1);
-	CHECK(measured_share(one) < 1);
+	vm local_vm{1};
+	const auto plan = begin(local_vm);
+	vm other_vm{2};
+	other_vm.now = local_vm.now;
+	other_vm.hear();
+	other_vm.shift.on_plan(plan, other_vm.now);
+	local_vm.pass(milliseconds{17100});
+	other_vm.pass(milliseconds{17100});
+	const auto promoted = promote(local_vm);
+	other_vm.pass(local_vm.now - other_vm.now);
+	other_vm.shift.on_plan(promoted, other_vm.now);
+	local_vm.pass(milliseconds{300});
+	other_vm.pass(milliseconds{300});
+	CHECK(measured_share(local_vm) > 0.1);
+	CHECK(measured_share(local_vm) < 1);
 	for (std::uint64_t i = 0; i < 64; ++i)
 	{
-		CHECK(one.shift.version_for(service, i << 58U, one.now) ==
-			  two.shift.version_for(service, i << 58U, two.now));
+		CHECK(local_vm.shift.version_for(service, i << 58U, local_vm.now) ==
+			  other_vm.shift.version_for(service, i << 58U, other_vm.now));
 	}
 }
 
 TEST_CASE("a version that fails is suspended at once and rolled back", "[shift]")
 {
-	vm one{1};
-	begin(one);
-	one.see("v1", 100, 0);
-	one.pass(seconds{11});
-	one.see("v2", 10, 6);
-	CHECK(measured_share(one) == 0);
-	CHECK(written(one, 12).state == shift_state::rolled_back);
+	vm local_vm{1};
+	begin(local_vm);
+	local_vm.see("v1", 100, 0);
+	local_vm.pass(seconds{11});
+	local_vm.see("v2", 10, 6);
+	CHECK(measured_share(local_vm) == 0);
+	CHECK(written(local_vm, 12).state == shift_state::rolled_back);
 }
 
 TEST_CASE("failures that the old version has as well are not attributed to the new one", "[shift]")
 {
-	vm one{1};
-	begin(one);
-	one.see("v1", 200, 28);
-	one.pass(seconds{11});
-	one.see("v2", 50, 8);
-	CHECK(measured_share(one) > 0);
+	vm local_vm{1};
+	begin(local_vm);
+	local_vm.see("v1", 200, 28);
+	local_vm.pass(seconds{11});
+	local_vm.see("v2", 50, 8);
+	CHECK(measured_share(local_vm) > 0);
 }
 
 TEST_CASE("evidence of several VMs together suspends where none alone would", "[shift]")
 {
-	vm one{1};
-	const auto plan = begin(one);
-	one.see("v1", 100, 0);
-	one.pass(seconds{11});
-	one.see("v2", 4, 3);
-	CHECK(measured_share(one) > 0);
-	one.shift.on_evidence("a", failures(plan, 4, 3, 1), one.now);
-	one.shift.on_evidence("b", failures(plan, 4, 3, 2), one.now);
-	one.shift.on_evidence("c", failures(plan, 4, 3, 3), one.now);
-	CHECK(measured_share(one) == 0);
+	vm local_vm{1};
+	const auto plan = begin(local_vm);
+	local_vm.see("v1", 100, 0);
+	local_vm.pass(seconds{11});
+	local_vm.see("v2", 4, 3);
+	CHECK(measured_share(local_vm) > 0);
+	local_vm.shift.on_evidence("a", failures(plan, 4, 3, 1), local_vm.now);
+	local_vm.shift.on_evidence("b", failures(plan, 4, 3, 2), local_vm.now);
+	local_vm.shift.on_evidence("c", failures(plan, 4, 3, 3), local_vm.now);
+	CHECK(measured_share(local_vm) == 0);
 }
 
 TEST_CASE("a VM that reads for others writes their evidence with its own, and only as it grows", "[shift]")
 {
-	vm one{1};
-	const auto plan = begin(one);
-	one.see("v1", 100, 0);
-	one.pass(seconds{11});
+	vm local_vm{1};
+	const auto plan = begin(local_vm);
+	local_vm.see("v1", 100, 0);
+	local_vm.pass(seconds{11});
 	const auto evidence_due = [&]
 	{
-		one.pass(milliseconds{400});
+		local_vm.pass(milliseconds{400});
 		std::vector<reported_evidence> all;
-		for (auto& write : one.shift.due(one.now))
+		for (auto& write : local_vm.shift.due(local_vm.now))
 		{
 			all.insert(all.end(), write.evidence.begin(), write.evidence.end());
 		}
 		return all;
 	};
 	const auto relay = [&](const char* reporter, std::uint64_t responses, std::uint64_t failed)
-	{ one.shift.on_relayed_evidence(reporter, failures(plan, responses, failed), one.now); };
+	{ local_vm.shift.on_relayed_evidence(reporter, failures(plan, responses, failed), local_vm.now); };
 	relay("a", 20, 0);
 	CHECK(evidence_due().empty());
-	// Fewer are bad than tolerated: a good version's failures are not written.
+	// Fewer responses are bad than tolerated: a good version's failures are not written.
 	relay("a", 40, 1);
 	CHECK(evidence_due().empty());
 	relay("a", 41, 12);
-	one.see("v2", 20, 0);
+	local_vm.see("v2", 20, 0);
 	const auto first = evidence_due();
 	REQUIRE(first.size() == 2);
 	CHECK(first[0].reporter.empty());
@@ -175,74 +175,74 @@
 	CHECK(evidence_due().empty());
 	relay("b", 30, 8);
 	CHECK(evidence_due().size() == 2);
-	one.shift.set_reads_registry(false);
+	local_vm.shift.set_reads_registry(false);
 	relay("b", 60, 20);
 	CHECK(evidence_due().empty());
 }
 
 TEST_CASE("evidence that is relayed and also read from the registry counts once", "[shift]")
 {
-	vm one{1};
-	const auto plan = begin(one);
-	one.see("v1", 100, 0);
-	one.pass(seconds{11});
+	vm local_vm{1};
+	const auto plan = begin(local_vm);
+	local_vm.see("v1", 100, 0);
+	local_vm.pass(seconds{11});
 	const auto seen = failures(plan, 4, 2);
 	for (int i = 0; i < 20; ++i)
 	{
-		one.shift.on_relayed_evidence("a", seen, one.now);
-		one.shift.on_evidence("a", seen, one.now);
+		local_vm.shift.on_relayed_evidence("a", seen, local_vm.now);
+		local_vm.shift.on_evidence("a", seen, local_vm.now);
 	}
-	CHECK(measured_share(one) > 0);
+	CHECK(measured_share(local_vm) > 0);
 }
 
 TEST_CASE("another VM's verdict suspends here too, and a reader writes it first", "[shift]")
 {
-	vm one{1};
-	const auto plan = begin(one);
-	one.pass(seconds{11});
-	one.shift.on_suspension({service, row_version{9}}, one.now);
-	CHECK(measured_share(one) > 0);
-	one.shift.set_reads_registry(false);
-	one.shift.on_suspension({service, plan.order}, one.now);
-	CHECK(measured_share(one) == 0);
-	REQUIRE(one.shift.suspensions().size() == 1);
-	CHECK(*one.shift.next_due() - one.now >= milliseconds{900});
+	vm local_vm{1};
+	const auto plan = begin(local_vm);
+	local_vm.pass(seconds{11});
+	local_vm.shift.on_suspension({service, row_version{9}}, local_vm.now);
+	CHECK(measured_share(local_vm) > 0);
+	local_vm.shift.set_reads_registry(false);
+	local_vm.shift.on_suspension({service, plan.order}, local_vm.now);
+	CHECK(measured_share(local_vm) == 0);
+	REQUIRE(local_vm.shift.suspensions().size() == 1);
+	CHECK(*local_vm.shift.next_due() - local_vm.now >= milliseconds{900});
 }
 
 TEST_CASE("a version that is several times slower is suspended, cold caches are not", "[shift]")
 {
-	vm one{1};
-	begin(one);
+	vm local_vm{1};
+	begin(local_vm);
 	for (unsigned i = 0; i < 300; ++i)
 	{
-		one.see("v1", 1, 0, 1 + 0.01 * (i % 100));
+		local_vm.see("v1", 1, 0, 1 + 0.01 * (i % 100));
 	}
-	one.pass(seconds{11});
+	local_vm.pass(seconds{11});
 	SECTION("cold caches: a quarter of the responses take twice as long")
 	{
 		for (unsigned i = 0; i < 60; ++i)
 		{
-			one.see("v2", 1, 0, i % 4 == 0 ? 3 : 1.2);
+			local_vm.see("v2", 1, 0, i % 4 == 0 ? 3 : 1.2);
 		}
-		CHECK(measured_share(one) > 0);
+		CHECK(measured_share(local_vm) > 0);
 	}
 	SECTION("eight times slower")
 	{
-		one.see("v2", 30, 0, 8);
-		CHECK(measured_share(one) == 0);
+		local_vm.see("v2", 30, 0, 8);
+		CHECK(measured_share(local_vm) == 0);
 	}
 }
 
 TEST_CASE("without contact with the registry the share stays, and nothing is declared completed", "[shift]")
 {
-	vm one{1};
-	begin(one);
-	one.pass(milliseconds{11500});
-	const auto share = measured_share(one);
-	one.now += seconds{60};
-	CHECK(measured_share(one) < 1);
-	CHECK(measured_share(one) >= share);
-	for (const auto& write : one.shift.due(one.now))
+	vm local_vm{1};
+	begin(local_vm);
+	local_vm.pass(milliseconds{11500});
+	const auto share = measured_share(local_vm);
+	local_vm.now += seconds{60};
+	CHECK(measured_share(local_vm) < 1);
+	CHECK(measured_share(local_vm) >= share);
+	for (const auto& write : local_vm.shift.due(local_vm.now))
 	{
 		CHECK_FALSE(write.plan);
 	}
@@ -250,37 +250,37 @@
 
 TEST_CASE("an older plan is ignored, and another VM's newer plan replaces this VM's", "[shift]")
 {
-	vm one{1};
-	auto plan = begin(one);
+	vm local_vm{1};
+	auto plan = begin(local_vm);
 	auto done = plan;
 	done.state = shift_state::rolled_back;
 	done.row = row_version{20};
-	one.shift.on_plan(done, one.now);
-	one.shift.on_plan(plan, one.now);
-	one.pass(seconds{13});
-	CHECK(measured_share(one) == 0);
-	CHECK_FALSE(one.shift.next_due());
+	local_vm.shift.on_plan(done, local_vm.now);
+	local_vm.shift.on_plan(plan, local_vm.now);
+	local_vm.pass(seconds{13});
+	CHECK(measured_share(local_vm) == 0);
+	CHECK_FALSE(local_vm.shift.next_due());
 }
 
 TEST_CASE("a new order after a completed one begins a new shift from the current version", "[shift]")
 {
-	vm one{1};
-	auto plan = begin(one);
+	vm local_vm{1};
+	auto plan = begin(local_vm);
 	plan.state = shift_state::completed;
 	plan.row = row_version{20};
-	one.shift.on_plan(plan, one.now);
-	one.shift.on_order({service, "v3", seconds{20}, row_version{30}}, one.now);
-	const auto next = written(one, 31);
+	local_vm.shift.on_plan(plan, local_vm.now);
+	local_vm.shift.on_order({service, "v3", seconds{20}, row_version{30}}, local_vm.now);
+	const auto next = written(local_vm, 31);
 	CHECK(next.from_version == "v2");
 	CHECK(next.to_version == "v3");
 }
 
 TEST_CASE("a shift's time runs from the order, not from the writing of its plan", "[shift]")
 {
-	vm one{1};
-	one.shift.on_order({service, "v2", seconds{20}, row_version{10}}, one.now);
-	const auto ordered = one.now.time_since_epoch() + seconds{7};
-	CHECK(written(one, 11).started == ordered);
+	vm local_vm{1};
+	local_vm.shift.on_order({service, "v2", seconds{20}, row_version{10}}, local_vm.now);
+	const auto ordered = local_vm.now.time_since_epoch() + seconds{7};
+	CHECK(written(local_vm, 11).started == ordered);
 }
 
 TEST_CASE(
@@ -313,10 +313,10 @@
 	restarted.shift.on_plan(plan, restarted.now);
 	early.pass(milliseconds{10500});
 	restarted.pass(milliseconds{10500});
-	const auto used = [&new_replicas](const vm& one)
+	const auto used = [&new_replicas](const vm& follower)
 	{
 		return std::count_if(new_replicas.begin(), new_replicas.end(),
-			[&one](const auto& replica) { return one.shift.is_in_use(*replica, one.now); });
+			[&follower](const auto& replica) { return follower.shift.is_in_use(*replica, follower.now); });
 	};
 	CHECK(used(early) < 30);
 	CHECK(used(restarted) == used(early));
--- a/tests/rollout/version_verdict.cpp
+++ b/tests/rollout/version_verdict.cpp
@@ -22,13 +22,13 @@
 }
 
 /// The same counts in each group of replicas.
-route_evidence in_all_groups(response_counts each, response_counts of_old = {1000, 0})
+route_evidence in_all_groups(response_counts counts_per_group, response_counts old_pre_trial = {1000, 0})
 {
 	route_evidence seen;
-	seen.pre_trial = of_old;
+	seen.pre_trial = old_pre_trial;
 	for (std::size_t group = 0; group < replica_group_count; ++group)
 	{
-		add(seen.new_version, group, each);
+		add(seen.new_version, group, counts_per_group);
 	}
 	return seen;
 }
