--- a/include/gingerdyke/rollout/permit_owner.hpp
+++ b/include/gingerdyke/rollout/permit_owner.hpp
@@ -78,7 +78,7 @@
 	};
 
 	[[nodiscard]] trial* find_or_create_trial(
-		const version_ref& ref, revision row_revision, const table::table& table, instant now);
+		const version_ref& ref, revision expected_revision, const table::table& table, instant now);
 	[[nodiscard]] std::uint32_t grant(
 		trial& trial, std::uint32_t requested_permits, unsigned batch, instant now) const;
 	void suspend_if_bad(trial& trial, const table::version_row& version, permit_owner_step& step) const;
--- a/src/rollout/permit_owner.cpp
+++ b/src/rollout/permit_owner.cpp
@@ -33,19 +33,19 @@
 }
 
 permit_owner::trial* permit_owner::find_or_create_trial(
-	const version_ref& ref, revision row_revision, const table::table& table, instant now)
+	const version_ref& ref, revision expected_revision, const table::table& table, instant now)
 {
 	const auto* version = table.version(ref);
-	if (version == nullptr || version->at != row_revision)
+	if (version == nullptr || version->at != expected_revision)
 	{
 		return nullptr;
 	}
 	auto found = trials_.find(ref);
-	if (found == trials_.end() || found->second.row_revision != row_revision)
+	if (found == trials_.end() || found->second.row_revision != expected_revision)
 	{
 		trials_.erase(ref);
 		found = trials_.emplace(ref, trial{version->tolerated_failures}).first;
-		found->second.row_revision = row_revision;
+		found->second.row_revision = expected_revision;
 		found->second.owned_since = now;
 	}
 	return &found->second;
--- a/src/rollout/version_verdict.cpp
+++ b/src/rollout/version_verdict.cpp
@@ -251,10 +251,10 @@
 /// The compared observations that both decisions use.
 struct compared_evidence
 {
-	compared_evidence(const version_evidence& evidence, const verdict_tuning& tuning)
-		: seen(evidence), all_routes(evidence.all_routes()), healthy(all_routes),
-		  latencies(compare_latencies(evidence.first_byte_by_model, tuning.latencies)),
-		  event_intervals(compare_latencies(evidence.event_intervals_by_model, tuning.latencies))
+	compared_evidence(const version_evidence& observations, const verdict_tuning& tuning)
+		: seen(observations), all_routes(observations.all_routes()), healthy(all_routes),
+		  latencies(compare_latencies(observations.first_byte_by_model, tuning.latencies)),
+		  event_intervals(compare_latencies(observations.event_intervals_by_model, tuning.latencies))
 	{
 	}
 
