--- a/emulator/shift_emulator.cpp
+++ b/emulator/shift_emulator.cpp
@@ -57,8 +57,8 @@
   public:
 	explicit shift_simulation(const shift_setup& setup)
 		: setup_(setup), random_(seeded_random{setup.seed}), order_time_(now_ + warm_up),
-		  burst_starts_at_(random_time()), slowdown_starts_at_(random_time()),
-		  registry_loss_starts_at_(random_time()),
+		  burst_starts_at_(random_offset()), slowdown_starts_at_(random_offset()),
+		  registry_loss_starts_at_(random_offset()),
 		  version_slowdown_(random_between(min_slowdown, max_slowdown))
 	{
 		make_engines(old_version, old_engines_);
@@ -91,7 +91,7 @@
 
 	double random_fraction() { return random_unit(random_); }
 	double random_between(double from, double to) { return from + (to - from) * random_fraction(); }
-	duration random_time() { return scaled(setup_.length, random_fraction()); }
+	duration random_offset() { return scaled(setup_.length, random_fraction()); }
 
 	[[nodiscard]] bool is_within(duration start) const
 	{
@@ -308,8 +308,8 @@
 		sample.replica = stable_hash(target.replica->id.str());
 		sample.relative_latency = latency_at(target, is_new);
 		sample.failed = random_fraction() < failure_ratio(target, is_new, route == 0);
-		const bool slow_version = is_new && setup_.fault == version_fault::slow;
-		if (is_new && (sample.failed || slow_version))
+		const bool is_slow_version = is_new && setup_.fault == version_fault::slow;
+		if (is_new && (sample.failed || is_slow_version))
 		{
 			bad_limit_reached_at_ =
 				result_.bad_responses < bad_responses_before_verdict ? now_ : bad_limit_reached_at_;
--- a/src/rollout/permit_owner.cpp
+++ b/src/rollout/permit_owner.cpp
@@ -60,11 +60,11 @@
 	{
 		return step;
 	}
-	const bool first_report = !trial->by_vm.contains(from);
+	const bool is_first_report = !trial->by_vm.contains(from);
 	auto& vm_evidence = trial->by_vm[from];
 	const auto previous = vm_evidence;
 	merge(request.seen, vm_evidence);
-	if (first_report)
+	if (is_first_report)
 	{
 		trial->responses_at_start += vm_evidence.answers;
 	}
@@ -167,9 +167,9 @@
 	const auto& own_domain = live_.self().failure_domain;
 	for (const auto& [ref, trial] : trials_)
 	{
-		const bool owned = live_.owner_in(own_domain, permit_key(ref)) == live_.self().vm;
+		const bool is_owner = live_.owner_in(own_domain, permit_key(ref)) == live_.self().vm;
 		const auto sum = domain_evidence(trial);
-		if (!owned || sum.answers == 0 || table.version(ref)->state != table::version_state::trial)
+		if (!is_owner || sum.answers == 0 || table.version(ref)->state != table::version_state::trial)
 		{
 			continue;
 		}
--- a/src/rollout/version_shift.cpp
+++ b/src/rollout/version_shift.cpp
@@ -275,11 +275,11 @@
 	std::optional<instant> next;
 	for (const auto& [service, state] : services_)
 	{
-		for (const auto& moment : {state.next_action_at, evidence_due_at(state)})
+		for (const auto& due_at : {state.next_action_at, evidence_due_at(state)})
 		{
-			if (moment)
+			if (due_at)
 			{
-				next = std::min(next.value_or(*moment), *moment);
+				next = std::min(next.value_or(*due_at), *due_at);
 			}
 		}
 	}
--- a/tests/rollout/verdict_after_restart.cpp
+++ b/tests/rollout/verdict_after_restart.cpp
@@ -40,10 +40,10 @@
 	{
 		vms_[i] = std::make_unique<version_shift>(
 			seeded_random{++start_count_}, [](const shift_event&) {}, shift_tuning{});
-		const auto old = std::make_shared<routing::replica>();
-		old->service = service;
-		old->version = "v1";
-		vms_[i]->set_replicas(service, {old});
+		const auto old_replica = std::make_shared<routing::replica>();
+		old_replica->service = service;
+		old_replica->version = "v1";
+		vms_[i]->set_replicas(service, {old_replica});
 	}
 
 	void set_registry_lost(std::size_t i, bool is_lost) { registry_lost_[i] = is_lost; }
--- a/tests/rollout/version_shift.cpp
+++ b/tests/rollout/version_shift.cpp
@@ -17,10 +17,10 @@
 	const auto new_replica = std::make_shared<routing::replica>();
 	new_replica->service = service;
 	new_replica->version = "v2";
-	const auto old = std::make_shared<routing::replica>();
-	old->service = service;
-	old->version = "v1";
-	local_vm.shift.set_replicas(service, {new_replica, new_replica, old});
+	const auto old_replica = std::make_shared<routing::replica>();
+	old_replica->service = service;
+	old_replica->version = "v1";
+	local_vm.shift.set_replicas(service, {new_replica, new_replica, old_replica});
 	CHECK(local_vm.shift.version_for(service, 5, local_vm.now) == "v1");
 }
 
@@ -57,11 +57,11 @@
 	vm local_vm{1};
 	begin(local_vm);
 	std::vector<std::uint64_t> on_new;
-	constexpr int trial_is_over = 42;
+	constexpr int step_after_trial = 42;
 	for (int step = 0; step < 46; ++step)
 	{
 		local_vm.pass(milliseconds{400});
-		if (step == trial_is_over)
+		if (step == step_after_trial)
 		{
 			promote(local_vm);
 		}
@@ -252,10 +252,10 @@
 {
 	vm local_vm{1};
 	auto plan = begin(local_vm);
-	auto done = plan;
-	done.state = shift_state::rolled_back;
-	done.row = row_version{20};
-	local_vm.shift.on_plan(done, local_vm.now);
+	auto rolled_back_plan = plan;
+	rolled_back_plan.state = shift_state::rolled_back;
+	rolled_back_plan.row = row_version{20};
+	local_vm.shift.on_plan(rolled_back_plan, local_vm.now);
 	local_vm.shift.on_plan(plan, local_vm.now);
 	local_vm.pass(seconds{13});
 	CHECK(measured_share(local_vm) == 0);
