--- a/include/gingerdyke/base/boot_clock.hpp
+++ b/include/gingerdyke/base/boot_clock.hpp
@@ -13,8 +13,9 @@
 /// \brief The time source of `boot_clock`: `CLOCK_BOOTTIME`, unless a test has replaced it.
 [[nodiscard]] time_source& boot_time_source() noexcept;
 
-/// \brief Time since boot, including time spent suspended. `std::chrono::steady_clock` excludes that time: a
-/// VM suspended for seconds would treat its keys, configuration and replica list as no older than before.
+/// \brief Time since boot, including time spent suspended. `std::chrono::steady_clock` excludes that time:
+/// with it, a VM that was suspended for seconds would treat its keys, configuration and replica list as no
+/// older than before.
 struct boot_clock
 {
 	using duration = std::chrono::nanoseconds;
--- a/include/gingerdyke/base/ids.hpp
+++ b/include/gingerdyke/base/ids.hpp
@@ -70,7 +70,8 @@
 	}
 };
 
-/// \brief One process run on a VM. The incarnation number increases with each restart under the same VM id.
+/// \brief One process instance on a VM. The incarnation number increases with each restart under the same VM
+/// id.
 struct vm_incarnation
 {
 	vm_id vm;
--- a/include/gingerdyke/base/random.hpp
+++ b/include/gingerdyke/base/random.hpp
@@ -18,7 +18,7 @@
 	return bound == 0 ? 0 : static_cast<std::size_t>(random() % bound);
 }
 
-/// \brief Maps a hash to the interval [0, 1).
+/// \brief Maps the upper 53 bits of a hash, as many as a double holds exactly, to the interval [0, 1).
 [[nodiscard]] inline double to_unit_interval(std::uint64_t hash) noexcept
 {
 	constexpr unsigned shift = 11;
--- a/src/base/json_source.cpp
+++ b/src/base/json_source.cpp
@@ -112,6 +112,8 @@
 		std::string key;
 	};
 
+	/// Line of the key or value that was parsed last. If the parser has just read a newline, that newline
+	/// follows the value, and the current line is already the next one.
 	[[nodiscard]] unsigned line() const
 	{
 		return position_.after_newline ? position_.line - 1 : position_.line;
@@ -124,9 +126,9 @@
 			return "";
 		}
 		const auto& top = stack_.back();
-		const auto step =
+		const auto token =
 			top.value.is_array() ? std::to_string(top.value.size()) : escape_pointer_token(top.key);
-		return top.pointer + "/" + step;
+		return top.pointer + "/" + token;
 	}
 
 	bool add_value(json value)
@@ -237,11 +239,11 @@
 
 std::string escape_pointer_token(std::string_view key)
 {
-	std::string step;
+	std::string token;
 	for (const char c : key)
 	{
-		step += c == '~' ? "~0" : c == '/' ? "~1" : std::string(1, c);
+		token += c == '~' ? "~0" : c == '/' ? "~1" : std::string(1, c);
 	}
-	return step;
+	return token;
 }
 } // namespace gingerdyke
--- a/tests/platform/cold_replicas.cpp
+++ b/tests/platform/cold_replicas.cpp
@@ -34,9 +34,9 @@
 	"[platform][slow_start]")
 {
 	registered_replicas setup{{"b"}, [](registered_replicas& starting) { starting.tell_cold("b", cold_ms); }};
-	const auto answer = setup.ask();
-	CHECK(answer.starts_with("HTTP/1.1 503 "));
-	CHECK(answer.find("Retry-After: ") != std::string::npos);
+	const auto response = setup.ask();
+	CHECK(response.starts_with("HTTP/1.1 503 "));
+	CHECK(response.find("Retry-After: ") != std::string::npos);
 }
 
 TEST_CASE(
--- a/tests/platform/replica_entries.cpp
+++ b/tests/platform/replica_entries.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Decoding of replica rows: which rows describe a usable replica, whatever their writer put into them.
+// Decoding of replica rows, which may hold any bytes: valid rows yield a replica, all others a finding.
 #include "../support/controlled_vm.hpp"
 #include <limits>
 #include <row_codec.hpp>
@@ -50,27 +50,27 @@
 		auto entry = valid_row();
 		entry.erase(field);
 		CHECK_FALSE(is_accepted(entry));
-		for (const auto& other : {json{nullptr}, json(7.5), json(-3), json(true), json::array({"ready"}),
-				 json::object({{"a", 1}}), json("")})
+		for (const auto& replacement : {json{nullptr}, json(7.5), json(-3), json(true),
+				 json::array({"ready"}), json::object({{"a", 1}}), json("")})
 		{
-			CAPTURE(other.dump());
-			entry[field] = other;
+			CAPTURE(replacement.dump());
+			entry[field] = replacement;
 			// An empty failure domain is accepted: it matches no other failure domain.
-			CHECK(is_accepted(entry) == (std::string_view{field} == "zone" && other.is_string()));
+			CHECK(is_accepted(entry) == (std::string_view{field} == "zone" && replacement.is_string()));
 		}
 	}
-	for (const auto& other : {json(7.5), json(-3), json("1780000000123"), json(nullptr), json(true)})
+	for (const auto& replacement : {json(7.5), json(-3), json("1780000000123"), json(nullptr), json(true)})
 	{
-		CAPTURE(other.dump());
+		CAPTURE(replacement.dump());
 		auto entry = valid_row();
-		entry["born"] = other;
+		entry["born"] = replacement;
 		CHECK_FALSE(is_accepted(entry));
 	}
-	for (const auto& other : {json(7.5), json(-3), json("0"), json(nullptr), json(true)})
+	for (const auto& replacement : {json(7.5), json(-3), json("0"), json(nullptr), json(true)})
 	{
-		CAPTURE(other.dump());
+		CAPTURE(replacement.dump());
 		auto entry = valid_row();
-		entry["cold_remaining_ms"] = other;
+		entry["cold_remaining_ms"] = replacement;
 		CHECK_FALSE(is_accepted(entry));
 	}
 	auto too_many_slots = valid_row();
