--- a/src/base/json_schema.cpp
+++ b/src/base/json_schema.cpp
@@ -17,11 +17,11 @@
 std::string to_pointer(const std::vector<std::string>& context)
 {
 	std::string pointer;
-	for (const auto& step : context)
+	for (const auto& element : context)
 	{
-		if (step.size() >= 2 && step.front() == '[')
+		if (element.size() >= 2 && element.front() == '[')
 		{
-			pointer += "/" + escape_pointer_token(std::string_view{step}.substr(1, step.size() - 2));
+			pointer += "/" + escape_pointer_token(std::string_view{element}.substr(1, element.size() - 2));
 		}
 	}
 	return pointer;
