--- a/include/gingerdyke/control/shared_store.hpp
+++ b/include/gingerdyke/control/shared_store.hpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Store that reads the registry through another VM if that VM's copy is fresh enough.
+// Store that reads the registry through another VM if that VM's copy is fresh enough. A VM that reads the
+// registry itself is called a reader; see source_selector.hpp.
 #pragma once
 
 #include <gingerdyke/control/relay_client.hpp>
@@ -33,7 +34,7 @@
 	/// failure domain would call the registry when they lose their reader.
 	std::size_t takeover_wait_min_rank = 2;
 
-	/// Backoff of a failed source plus a margin.
+	/// Back-off of a failed source plus a margin.
 	duration takeover_wait = std::chrono::milliseconds{550};
 
 	/// Timeout for reading a full table from another VM, which may have to read it itself first if it has
@@ -136,11 +137,11 @@
 	void read_after(duration pause, read_call call);
 	void read_registry(read_call call);
 	void on_registry_response(const read_call& call, instant sent_at, const store_result<row_batch>& result);
-	void note_newest(const std::string& table, instant at);
+	void record_newest(const std::string& table, instant at);
 	void confirm_waiting_tables(const std::string& table, instant newest_at);
 	void read_peer(const peer& from, read_call call);
 	void on_peer_response(const peer& from, read_call call, instant sent_at, store_result<row_batch> result);
-	void note_source(const std::string& table, const std::optional<peer>& source);
+	void record_source(const std::string& table, const std::optional<peer>& source);
 	std::shared_ptr<relay_client> client_of(const peer& to);
 
 	proxy::asio::io_context& context_;
--- a/include/gingerdyke/control/table_follower.hpp
+++ b/include/gingerdyke/control/table_follower.hpp
@@ -20,7 +20,7 @@
 	/// Pause after a response with changes, so that further changes arrive in one batch; 0 for none.
 	duration batch_delay = duration{0};
 
-	/// Backoff after a failed call, doubled after each failure up to the maximum, with a random spread of
+	/// Back-off after a failed call, doubled after each failure up to the maximum, with a random spread of
 	/// 50%.
 	duration initial_backoff = std::chrono::milliseconds{100};
 	duration max_backoff = std::chrono::milliseconds{500};
@@ -70,8 +70,8 @@
 	[[nodiscard]] static instant newest_at(instant sent_at, const row_batch& batch);
 	void log_superseded(std::size_t rows, std::size_t changed_rows) const;
 	void confirm_cache(instant sent_at, const row_batch& batch);
-	void note_success(instant sent_at, const row_batch& batch);
-	void note_failure(store_error error);
+	void record_success(instant sent_at, const row_batch& batch);
+	void record_failure(store_error error);
 	void retry_after_backoff();
 	void read_next_after(duration pause);
 
--- a/include/gingerdyke/proxy/listener.hpp
+++ b/include/gingerdyke/proxy/listener.hpp
@@ -2,7 +2,7 @@
 // Accepts connections of callers on one address.
 #pragma once
 
-#include <gingerdyke/proxy/caller_link.hpp>
+#include <gingerdyke/proxy/caller_connection.hpp>
 #include <gingerdyke/routing/address.hpp>
 #include <memory>
 #include <vector>
--- a/include/gingerdyke/proxy/replica_statements.hpp
+++ b/include/gingerdyke/proxy/replica_statements.hpp
@@ -18,7 +18,7 @@
 	std::optional<double> load_limit;
 
 	/// It announces a load limit, but no value of it is valid: a limit known before stays in force.
-	bool has_unreadable_limit{};
+	bool has_malformed_limit{};
 
 	/// It is draining and accepts no new work.
 	bool is_draining{};
@@ -29,14 +29,14 @@
 
 	/// A malformed value, for the log; empty if there is none. It does not change what is known of the
 	/// replica.
-	std::string unreadable;
+	std::string malformed_value;
 
 	/// Names of headers that have a prefix of statements but are not known.
 	std::vector<std::string> unknown;
 };
 
-/// \brief Parses the statements of a replica. Of several load limits the lowest counts, of several backoff
-/// times the longest.
+/// \brief Parses the statements of a replica. Of several load limits the lowest counts, of several
+/// back-off times the longest.
 /// \param time_of_day Current time, for a `Retry-After` that is a date.
 [[nodiscard]] replica_statements read_statements(
 	const response_head& head, const header_names& names, std::chrono::system_clock::time_point time_of_day);
--- a/include/gingerdyke/proxy/upstream_pool.hpp
+++ b/include/gingerdyke/proxy/upstream_pool.hpp
@@ -2,7 +2,7 @@
 // Pool of connections to replicas.
 #pragma once
 
-#include <gingerdyke/proxy/upstream_link.hpp>
+#include <gingerdyke/proxy/upstream_connection.hpp>
 #include <map>
 #include <vector>
 
--- a/include/gingerdyke/routing/slow_start.hpp
+++ b/include/gingerdyke/routing/slow_start.hpp
@@ -17,13 +17,13 @@
 /// \brief Why a replica is considered cold.
 enum class cold_reason
 {
-	/// Its entry says so.
+	/// The replica's entry states a remaining warm-up time.
 	announced,
-	/// It has started, and its entry does not say how long it is cold.
+	/// The replica has started, and its entry does not state a remaining warm-up time.
 	started,
-	/// A connection to it failed: its process may have restarted since its entry was read.
+	/// A connection to the replica failed: its process may have restarted since its entry was read.
 	unreachable,
-	/// Its failure domain was evacuated and got no requests for a while.
+	/// The replica's failure domain was evacuated and got no requests for a while.
 	evacuated,
 };
 
@@ -41,9 +41,10 @@
 /// \brief Tracks which replicas are cold and computes this VM's share of their limits.
 ///
 /// VMs do not negotiate their shares. A VM with a list of n VMs may send a cold replica an equal part of
-/// the limit in each second. If there are more VMs than requests, it may send one request if a hash of VM
-/// and replica ranks it among the first VMs. VMs with different lists still keep to the limit together,
-/// because only a VM with a fresh list that is known to the other VMs has a share.
+/// the limit in each second. If there are more VMs than requests that the limit allows in a second, a VM
+/// may send one request if a hash of VM and replica ranks it among the first VMs. VMs with different lists
+/// still keep to the limit together, because only a VM with a fresh list that is known to the other VMs has a
+/// share.
 class slow_start
 {
   public:
@@ -53,10 +54,10 @@
 	/// \param vms List of the VMs that send to the replicas; must outlive this object.
 	slow_start(const fleet_list& vms, cold_hook began, slow_start_tuning tuning = {});
 
-	/// \brief Sets the limits; replicas of services without one are never considered cold.
+	/// \brief Sets the limits; replicas of services without a limit are never considered cold.
 	void set_limits(std::map<service_id, cold_limit> limits) { limits_ = std::move(limits); }
 
-	/// \brief Applies the remaining warm-up time in a replica's entry, if there is one.
+	/// \brief Applies the remaining warm-up time in a replica's entry, if the entry states one.
 	void apply_entry(const replica& target, instant now);
 
 	/// \brief Considers a replica cold for its service's warm-up time, because it has started, may have
@@ -79,7 +80,7 @@
 	/// to be established first.
 	void update_sent_time(const replica& target, instant sent_at, instant now);
 
-	/// \brief Time until the first of a service's cold replicas is warm; none: none of them is cold.
+	/// \brief Time until the first of a service's cold replicas is warm; none: no replica is cold.
 	[[nodiscard]] std::optional<duration> time_until_warm(const service_id& service, instant now) const;
 
 	/// \brief Number of cold replicas.
--- a/src/control/source_selector.cpp
+++ b/src/control/source_selector.cpp
@@ -12,10 +12,10 @@
 {
 namespace
 {
-/// Backoff key of the registry itself; no VM has an empty name.
+/// Key of the registry in `backoffs_`; no VM has an empty name.
 const std::string registry_key;
 
-/// Stands for all tables; no table has an empty name.
+/// Stands for all tables in `stale_copies_`; no table has an empty name.
 const std::string all_tables;
 
 /// Makes the choice among readers of full tables independent of the rank order.
@@ -127,7 +127,7 @@
 		return std::nullopt;
 	}
 	// Distributes the other VMs over the readers in proportion to the readers' links. The hash differs from
-	// the one of the rank, by which all non-readers lie at one end of the range.
+	// that of the rank, since all non-readers lie at one end of the range of the latter.
 	const auto links = local_links();
 	const auto total_mbps =
 		std::accumulate(links.begin(), links.begin() + static_cast<std::ptrdiff_t>(readers), 0.0);
@@ -185,7 +185,7 @@
 	return static_cast<std::size_t>(preferred);
 }
 
-void source_selector::note_unusable(const std::optional<peer>& source, instant now)
+void source_selector::record_unusable(const std::optional<peer>& source, instant now)
 {
 	auto& known = backoffs_[backoff_key(source)];
 	if (known.until > now)
@@ -205,17 +205,17 @@
 	return rank() < tuning_.fast_retry_vms ? tuning_.initial_backoff : tuning_.slow_retry_backoff;
 }
 
-void source_selector::note_stale_copy(const peer& source, const std::string& table, instant now)
+void source_selector::record_stale_copy(const peer& source, const std::string& table, instant now)
 {
 	stale_copies_[{source.vm, table}] = now + tuning_.stale_copy_backoff;
 }
 
-void source_selector::note_registry_lost(const peer& source, instant now)
+void source_selector::record_registry_loss(const peer& source, instant now)
 {
-	note_stale_copy(source, all_tables, now);
+	record_stale_copy(source, all_tables, now);
 }
 
-void source_selector::note_usable(const std::optional<peer>& source)
+void source_selector::record_usable(const std::optional<peer>& source)
 {
 	backoffs_.erase(backoff_key(source));
 }
--- a/src/rollout/permit_owner.cpp
+++ b/src/rollout/permit_owner.cpp
@@ -33,19 +33,19 @@
 }
 
 permit_owner::trial* permit_owner::find_or_create_trial(
-	const version_ref& ref, revision row, const table::table& table, instant now)
+	const version_ref& ref, revision expected_revision, const table::table& table, instant now)
 {
 	const auto* version = table.version(ref);
-	if (version == nullptr || version->at != row)
+	if (version == nullptr || version->at != expected_revision)
 	{
 		return nullptr;
 	}
 	auto found = trials_.find(ref);
-	if (found == trials_.end() || found->second.row_revision != row)
+	if (found == trials_.end() || found->second.row_revision != expected_revision)
 	{
 		trials_.erase(ref);
 		found = trials_.emplace(ref, trial{version->tolerated_failures}).first;
-		found->second.row_revision = row;
+		found->second.row_revision = expected_revision;
 		found->second.owned_since = now;
 	}
 	return &found->second;
@@ -60,11 +60,11 @@
 	{
 		return step;
 	}
-	const bool first_report = !trial->by_vm.contains(from);
+	const bool is_first_report = !trial->by_vm.contains(from);
 	auto& vm_evidence = trial->by_vm[from];
 	const auto previous = vm_evidence;
 	merge(request.seen, vm_evidence);
-	if (first_report)
+	if (is_first_report)
 	{
 		trial->responses_at_start += vm_evidence.answers;
 	}
@@ -167,9 +167,9 @@
 	const auto& own_domain = live_.self().failure_domain;
 	for (const auto& [ref, trial] : trials_)
 	{
-		const bool owned = live_.owner_in(own_domain, permit_key(ref)) == live_.self().vm;
+		const bool is_owner = live_.owner_in(own_domain, permit_key(ref)) == live_.self().vm;
 		const auto sum = domain_evidence(trial);
-		if (!owned || sum.answers == 0 || table.version(ref)->state != table::version_state::trial)
+		if (!is_owner || sum.answers == 0 || table.version(ref)->state != table::version_state::trial)
 		{
 			continue;
 		}
--- a/tests/control/shared_store.cpp
+++ b/tests/control/shared_store.cpp
@@ -45,7 +45,7 @@
 	{
 		for (const auto* name : {"peer0", "peer1"})
 		{
-			sources.note_registry_lost(make_peer(name), proxy::steady_now());
+			sources.record_registry_loss(make_peer(name), proxy::steady_now());
 		}
 	}
 
@@ -56,11 +56,12 @@
 
 	shared_store_hooks hooks()
 	{
-		auto made = quiet_hooks();
-		made.reader_role_changed = [this](bool reads_registry) { role_changes.push_back(reads_registry); };
-		made.copy_confirmed = [this](const std::string& table, instant)
+		auto store_hooks = quiet_hooks();
+		store_hooks.reader_role_changed = [this](bool reads_registry)
+		{ role_changes.push_back(reads_registry); };
+		store_hooks.copy_confirmed = [this](const std::string& table, instant)
 		{ confirmed_tables.push_back(table); };
-		return made;
+		return store_hooks;
 	}
 
 	proxy::asio::io_context context{1};
@@ -131,11 +132,11 @@
 	shared_store store{context, registry, sources, quiet_hooks()};
 
 	// The VM first reads the table from the registry.
-	sources.note_unusable(reader, proxy::steady_now());
+	sources.record_unusable(reader, proxy::steady_now());
 	store.read_all("t", [](const store_result<row_batch>&) {});
 	REQUIRE(registry.whole_reads.size() == 1);
 	registry.answer_whole(row_version{9});
-	sources.note_usable(reader);
+	sources.record_usable(reader);
 
 	std::optional<store_result<row_batch>> got;
 	store.read_all("t", [&](store_result<row_batch> result) { got = std::move(result); });
@@ -157,13 +158,13 @@
 	CHECK(world.registry.follows.front().wait == duration{0});
 }
 
-TEST_CASE("a VM whose own copy is overdue respects the registry's backoff", "[relay]")
+TEST_CASE("a VM whose own copy is overdue respects the registry's back-off", "[relay]")
 {
 	auto tuning = untimed_tuning();
 	tuning.max_own_copy_age = duration{0};
 	stale_peers_world world{tuning};
 	world.read_from_registry("t");
-	world.sources.note_unusable(std::nullopt, proxy::steady_now());
+	world.sources.record_unusable(std::nullopt, proxy::steady_now());
 	world.follow("t", seconds{100});
 	CHECK(world.registry.follows.empty());
 }
@@ -173,8 +174,8 @@
 	// Guards against waits that outlast the freshness of the own copy. Two sources that had lost the registry
 	// each held a poll for 0.9 s and returned a copy that had become stale meanwhile, then the VM waited 0.55
 	// s for another reader; the registry was asked 2.7 s after the VM's copy of the replicas' table had last
-	// been the newest. A request reached a replica 3.3 s after it had announced that it leaves; 3 s are
-	// allowed. The age of the own copy was checked between waits, but did not bound their lengths.
+	// been the newest. A request reached a replica 3.3 s after the replica had announced that it is draining;
+	// 3 s are allowed. The age of the own copy was checked between waits, but did not bound their lengths.
 	auto tuning = untimed_tuning();
 	tuning.max_own_copy_age = milliseconds{600};
 	tuning.max_follow_sources = 1;
@@ -211,7 +212,7 @@
 	CHECK(world.registry.follows.front().table == "t");
 }
 
-TEST_CASE("during the registry's backoff another VM has the full timeout to return a full table", "[relay]")
+TEST_CASE("during the registry's back-off another VM has the full timeout to return a full table", "[relay]")
 {
 	auto tuning = untimed_tuning();
 	tuning.max_own_copy_age = duration{0};
@@ -222,7 +223,7 @@
 	world.read_from_registry("t");
 	test::run_until(
 		world.context, [&] { return world.sources.choose("t", proxy::steady_now()).has_value(); });
-	world.sources.note_unusable(std::nullopt, proxy::steady_now());
+	world.sources.record_unusable(std::nullopt, proxy::steady_now());
 	std::optional<store_result<row_batch>> got;
 	world.store.read_all("t", [&](store_result<row_batch> result) { got = std::move(result); });
 	test::run_until(world.context, [&] { return got.has_value() || !world.registry.whole_reads.empty(); });
--- a/tests/proxy/replica_end_watch.cpp
+++ b/tests/proxy/replica_exit_detector.cpp
@@ -2,7 +2,7 @@
 // What counts as the exit of a replica's process, and what does not.
 #include "../support/event_loop.hpp"
 #include "../support/scripted_peer.hpp"
-#include <gingerdyke/proxy/replica_end_watch.hpp>
+#include <gingerdyke/proxy/replica_exit_detector.hpp>
 
 using namespace gingerdyke;
 using namespace gingerdyke::test;
@@ -41,11 +41,11 @@
 	proxy::replica_exit_detector detector{
 		context, {[this](const proxy::replica_exit&) { ++presumed_count; },
 					 [this](const proxy::replica_exit& exited, bool has_exited,
-						 const std::vector<process_instance>& lives)
+						 const std::vector<process_instance>& processes)
 					 {
 						 CHECK(exited.requests == std::vector{request_key{"q"}});
 						 resolved.push_back(has_exited);
-						 correlated = lives.size();
+						 correlated = processes.size();
 					 }}};
 };
 } // namespace
--- a/tests/routing/replica_selector.cpp
+++ b/tests/routing/replica_selector.cpp
@@ -37,7 +37,7 @@
 		return selector.choose(request, now);
 	}
 
-	[[nodiscard]] const replica& of(const replica_id& id) const { return *replicas.find(id); }
+	[[nodiscard]] const replica& replica_by_id(const replica_id& id) const { return *replicas.find(id); }
 
 	instant now{seconds{50}};
 	unsigned ejections = 0;
@@ -61,14 +61,14 @@
 	CHECK(used.size() == 6);
 }
 
-TEST_CASE("affinity is given up if its replica has far more work than the others", "[selector]")
+TEST_CASE("the preferred replica is not used if it has far more work than the others", "[selector]")
 {
 	selector_fixture fixture{3};
 	const auto preferred = fixture.choose(42)->id;
-	fixture.selector.record_sent(fixture.of(preferred), 200000);
+	fixture.selector.record_sent(fixture.replica_by_id(preferred), 200000);
 	const auto next = fixture.choose(42)->id;
 	CHECK(next != preferred);
-	fixture.selector.record_completion(fixture.of(preferred), 200000);
+	fixture.selector.record_completion(fixture.replica_by_id(preferred), 200000);
 	CHECK(fixture.choose(42)->id == preferred);
 }
 
@@ -76,13 +76,13 @@
 {
 	selector_fixture fixture{3};
 	const auto preferred = fixture.choose(42)->id;
-	fixture.selector.record_sent(fixture.of(preferred), 200000);
+	fixture.selector.record_sent(fixture.replica_by_id(preferred), 200000);
 	REQUIRE(fixture.choose(42)->id != preferred);
-	fixture.selector.record_progress(fixture.of(preferred), 190000);
+	fixture.selector.record_progress(fixture.replica_by_id(preferred), 190000);
 	CHECK(fixture.choose(42)->id == preferred);
 	REQUIRE(fixture.selector.outstanding_work().size() == 1);
 	CHECK(fixture.selector.outstanding_work().front().tokens == 10000);
-	fixture.selector.record_completion(fixture.of(preferred), 10000);
+	fixture.selector.record_completion(fixture.replica_by_id(preferred), 10000);
 	CHECK(fixture.selector.outstanding_work().empty());
 }
 
@@ -99,7 +99,8 @@
 }
 
 TEST_CASE(
-	"affinity holds while processing the shared prefix at another replica would be more work", "[selector]")
+	"the preferred replica is used while processing the shared prefix at another one would be more work",
+	"[selector]")
 {
 	selector_fixture fixture{6};
 	selection request;
@@ -109,9 +110,9 @@
 	request.is_engine = true;
 	request.usable = [](const replica&) { return true; };
 	const auto preferred = fixture.selector.choose(request, fixture.now)->id;
-	fixture.selector.record_sent(fixture.of(preferred), 60000);
+	fixture.selector.record_sent(fixture.replica_by_id(preferred), 60000);
 	CHECK(fixture.selector.choose(request, fixture.now)->id == preferred);
-	fixture.selector.record_sent(fixture.of(preferred), 60000);
+	fixture.selector.record_sent(fixture.replica_by_id(preferred), 60000);
 	CHECK(fixture.selector.choose(request, fixture.now)->id != preferred);
 	CHECK(fixture.selector.outstanding_work().front().tokens == 120000);
 }
@@ -152,18 +153,19 @@
 	"prompts for small models leave the failure domain if its replicas have too much work", "[selector]")
 {
 	selector_fixture fixture{6};
-	fixture.selector.record_sent(fixture.of(replica_id{"r0"}), 50000);
+	fixture.selector.record_sent(fixture.replica_by_id(replica_id{"r0"}), 50000);
 	for (std::uint64_t prompt = 1; prompt <= 40; ++prompt)
 	{
 		CHECK(fixture.selector.choose(prompt_for(0.05, prompt), fixture.now)->domain.str() == "far");
 	}
 }
 
-TEST_CASE("requests go to the replica of the own failure domain until it is loaded", "[selector]")
+TEST_CASE(
+	"requests go to the replica of the VM's own failure domain until that replica is loaded", "[selector]")
 {
 	selector_fixture fixture{3};
 	CHECK(fixture.choose()->id.str() == "r0");
-	fixture.selector.record_sent(fixture.of(replica_id{"r0"}), 0);
+	fixture.selector.record_sent(fixture.replica_by_id(replica_id{"r0"}), 0);
 	CHECK(fixture.choose()->id.str() != "r0");
 }
 
--- a/tests/support/proxy_world.hpp
+++ b/tests/support/proxy_world.hpp
@@ -22,11 +22,11 @@
 	names.replica_id = "Replica-Id";
 	names.model = "Model";
 	names.token_counts = "Tokens";
-	names.prompt_parts = "Prompt-Parts";
+	names.prompt_segments = "Prompt-Parts";
 	names.priority = "Priority";
 	names.confidence = "Confidence";
 	names.load_limit = "Load-Limit";
-	names.leaving = "Leaving";
+	names.draining_flag = "Leaving";
 	names.session = "Session";
 	names.last_event_id = "Last-Event-Id";
 	names.key_scheme = "Token";
