--- a/include/gingerdyke/membership/member.hpp
+++ b/include/gingerdyke/membership/member.hpp
@@ -20,7 +20,9 @@
 /// \brief Role of a VM.
 enum class member_kind
 {
+	/// An entry VM: runs the router and accepts callers' requests.
 	entry,
+	/// An upstream VM: hosts upstreams, i.e. engines or services, to which entry VMs send requests.
 	upstream,
 };
 
--- a/include/gingerdyke/proxy/gateway.hpp
+++ b/include/gingerdyke/proxy/gateway.hpp
@@ -46,12 +46,12 @@
 	/// Lower bound of the timeouts above, for routes with a very short objective.
 	duration min_attempt_timeout = std::chrono::milliseconds{150};
 
-	/// Timeout of establishing a connection: a thousand times the usual time on the users' networks.
+	/// Timeout of establishing a connection: a thousand times the usual time on the deployments' networks.
 	duration connect_timeout = std::chrono::milliseconds{400};
 
 	/// A repeatable request is taken from a replica that leaves its bytes unacknowledged for this long; three
-	/// consecutive packet losses on the users' links take longer. Other requests wait for as long as the
-	/// connection lasts.
+	/// consecutive packet losses on the deployments' links take longer. Other requests wait for as long as
+	/// the connection lasts.
 	duration unacknowledged_timeout = std::chrono::milliseconds{900};
 
 	/// Maximum number of replicas to which the connection failed. As nothing was sent to them, they do not
@@ -66,7 +66,7 @@
 	duration min_attempt_time = std::chrono::milliseconds{20};
 
 	/// For how long after the start of a shutdown new streams, and other new requests, are accepted. Accepted
-	/// requests must end before the process does; the shortest shutdown limit of the users is 8 s.
+	/// requests must end before the process does; the shortest shutdown limit of the deployments is 8 s.
 	duration stream_acceptance_while_stopping = std::chrono::milliseconds{2900};
 	duration request_acceptance_while_stopping = std::chrono::milliseconds{5500};
 
--- a/include/gingerdyke/proxy/timer.hpp
+++ b/include/gingerdyke/proxy/timer.hpp
@@ -15,7 +15,7 @@
 /// suspension.
 struct bounded_wait
 {
-	/// After a resume, expired timers fire within this time, well within the 3 s that the users require. It
+	/// After a resume, expired timers fire within this time, well within the 3 s that deployments require. It
 	/// costs two wake-ups per second on an idle VM.
 	static constexpr boot_clock::duration max_wait = std::chrono::milliseconds{500};
 
--- a/include/gingerdyke/quarantine/suspect_list.hpp
+++ b/include/gingerdyke/quarantine/suspect_list.hpp
@@ -35,8 +35,8 @@
 struct suspect_tuning
 {
 	/// Weighted number of exits at which a request is quarantined. In a deployment of 18 replicas, a single
-	/// exit involves 20 and more requests and two exits still share some; users allow a request to be sent
-	/// only a few more times.
+	/// exit involves 20 and more requests and two exits still share some; deployments allow a request to be
+	/// sent only a few more times.
 	double quarantine_exits = 3;
 
 	/// Weight of an exit that is attributed to another cause than the request because others occurred at
--- a/include/gingerdyke/rollout/version_shift.hpp
+++ b/include/gingerdyke/rollout/version_shift.hpp
@@ -153,8 +153,8 @@
 	std::size_t control_replica_count = 16;
 
 	/// A version with this many bad responses (failures or slow ones) must be shown to be as good as the old
-	/// one within this time, or it is suspended. Users allow a bad version 5 s after 50 bad responses, and a
-	/// VM that reads the registry knows a third to a fifth of all responses.
+	/// one within this time, or it is suspended. Deployments allow a bad version 5 s after 50 bad responses,
+	/// and a VM that reads the registry knows a third to a fifth of all responses.
 	std::uint64_t proof_deadline_bad_responses = 12;
 	duration proof_deadline = std::chrono::milliseconds{3000};
 
--- a/include/gingerdyke/routing/replica_selector.hpp
+++ b/include/gingerdyke/routing/replica_selector.hpp
@@ -69,7 +69,7 @@
 	double min_available_share = 0.5;
 
 	/// Cost added to a replica of another failure domain: one round trip between the failure domains of the
-	/// users' networks.
+	/// deployments' networks.
 	duration cross_domain_penalty = std::chrono::microseconds{2800};
 
 	/// Assumed response time of a replica without any response yet.
--- a/include/gingerdyke/routing/replica_set.hpp
+++ b/include/gingerdyke/routing/replica_set.hpp
@@ -77,7 +77,7 @@
 struct replica_set_tuning
 {
 	/// Entries that expired during a registry outage are registered again within this time after its end.
-	/// Users specify about two seconds.
+	/// Deployments require about two seconds.
 	duration reregistration_time = std::chrono::milliseconds{2200};
 
 	/// Replicas whose entries are missing get no requests as long as they are at most this share of their
--- a/src/proxy/caller_connection.cpp
+++ b/src/proxy/caller_connection.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t max_pipelined_bytes = 65536;
 
 /// Maximum size of unsent output. A caller that reads more slowly than its response arrives is disconnected
-/// beyond it: the users' largest responses have a few thousand bytes, and a VM has 160 MB of memory.
+/// beyond it: the deployments' largest responses have a few thousand bytes, and a VM has 160 MB of memory.
 constexpr std::size_t max_pending_bytes = 4U << 20U;
 
 /// After its last response a caller has this long to close the connection before it is closed here.
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -12,7 +12,7 @@
 /// idle one, holds a buffer of this size, and a VM has more than a hundred.
 constexpr std::size_t read_size = 2048;
 
-/// Maximum size of a response head in bytes; the users' replicas send a few hundred.
+/// Maximum size of a response head in bytes; the deployments' replicas send a few hundred.
 constexpr std::uint32_t max_head_bytes = 65536;
 
 constexpr int first_success = 200;
--- a/tests/emulator/shift.cpp
+++ b/tests/emulator/shift.cpp
@@ -9,7 +9,7 @@
 
 namespace
 {
-/// Fraction of all requests that users allow a bad version to get.
+/// Fraction of all requests that deployments allow a bad version to get.
 constexpr double exposure_limit = 0.15;
 
 shift_setup small_deployment()
